--- a/crates/trestlerack/src/process/membership.rs
+++ b/crates/trestlerack/src/process/membership.rs
@@ -30,6 +30,18 @@
     Dead,
 }
 
+impl Liveness {
+    /// Returns the name that logs use.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::Alive => "alive",
+            Self::Suspect => "suspect",
+            Self::Leaving => "leaving",
+            Self::Dead => "dead",
+        }
+    }
+}
+
 /// Who a peer is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerInfo {
--- a/crates/trestlerackd/src/process/member_loop.rs
+++ b/crates/trestlerackd/src/process/member_loop.rs
@@ -65,7 +65,7 @@
                 tokio::spawn(probe(node.clone(), peer));
             }
             MembershipAction::Changed(update) => {
-                let liveness = format!("{:?}", update.liveness).to_lowercase();
+                let liveness = update.liveness.as_str();
                 logs::write(event::PEER_CHANGED, &[("peer", &update.peer.name), ("liveness", &liveness)]);
                 if update.liveness == Liveness::Dead {
                     node.links.drop_link(&update.peer.name);
