--- a/crates/trestlerackd/src/entry/job_driver.rs
+++ b/crates/trestlerackd/src/entry/job_driver.rs
@@ -1,5 +1,6 @@
 //! Drives one job on the node that owns it: places items, scores texts, records results.
 
+use super::drive_mode::DriveMode;
 use super::node::EntryNode;
 use super::{job_records, job_runs, job_scores, job_texts, run_moves, score_calls, server_feed};
 use crate::process::clock;
@@ -24,20 +25,6 @@
 /// Interval at which a job's progress is logged.
 const TELL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a driver is to do.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-#[repr(u8)]
-enum DriveMode {
-    /// Bring the job forward.
-    Drive,
-    /// Its client ended it: stop, and keep unfinished texts.
-    End,
-    /// This node stops: give it to another one.
-    HandOver,
-    /// Another node drives it.
-    Lost,
-}
-
 /// A run in progress.
 pub struct ItemRun {
     /// Ends the run, which closes its connection.
@@ -300,7 +287,7 @@
     if let (Some((head, version)), DriveMode::End | DriveMode::HandOver) = (recorded, driver.mode()) {
         job_texts::leave_job(node, driver, head, version).await;
     }
-    let why = format!("{:?}", driver.mode()).to_lowercase();
+    let why = driver.mode().as_str();
     logs::write(event::JOB_LEFT, &[("job", &job), ("why", &why)]);
 }
 
--- a/crates/trestlerackd/src/entry/mod.rs
+++ b/crates/trestlerackd/src/entry/mod.rs
@@ -10,6 +10,7 @@
 mod callers;
 mod choice_log;
 mod client_links;
+mod drive_mode;
 mod duties;
 mod engine_calls;
 mod engine_memory;
