--- a/crates/trestlerackd/src/entry/duties/engines.rs
+++ b/crates/trestlerackd/src/entry/duties/engines.rs
@@ -144,7 +144,7 @@
         ("zone", &zone),
         ("engines", &order.engines),
         ("fence", &fence),
-        ("answer", &format!("{answer:?}").to_lowercase()),
+        ("answer", &answer.as_str()),
     ];
     logs::write(event::ENGINES_ORDERED, &fields);
     match answer {
--- a/crates/trestlerackd/src/entry/duties/usage_report.rs
+++ b/crates/trestlerackd/src/entry/duties/usage_report.rs
@@ -235,10 +235,7 @@
     };
     let encode = |holder: platform::DutyHolder<'_>| platform::encode_usage(holder, window, &report.counts);
     let Some((fence, answer)) = caller.call(node, encode).await else { return };
-    logs::write(
-        event::USAGE_REPORTED,
-        &[("window", &window), ("fence", &fence), ("answer", &format!("{answer:?}").to_lowercase())],
-    );
+    logs::write(event::USAGE_REPORTED, &[("window", &window), ("fence", &fence), ("answer", &answer.as_str())]);
     match answer {
         DutyAnswer::Done => {
             desk.unsent.remove(&window);
