--- a/crates/trestlerack/src/version/weight_plan.rs
+++ b/crates/trestlerack/src/version/weight_plan.rs
@@ -105,6 +105,19 @@
     NotSent,
 }
 
+impl OrderOutcome {
+    /// Returns the name that logs and metrics use.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::Accepted => "accepted",
+            Self::Held => "held",
+            Self::Refused => "refused",
+            Self::Unknown => "unknown",
+            Self::NotSent => "notsent",
+        }
+    }
+}
+
 #[derive(Clone, Debug)]
 struct EngineState {
     model: Name,
--- a/crates/trestlerack/tests/printed_texts.rs
+++ b/crates/trestlerack/tests/printed_texts.rs
@@ -1,9 +1,22 @@
 //! The texts that logs and metrics print for the variants of this crate's types.
 
 use trestlerack::process::Liveness;
+use trestlerack::version::OrderOutcome;
 
 #[test]
 fn a_peers_liveness_keeps_its_texts() {
     let printed = [Liveness::Alive, Liveness::Suspect, Liveness::Leaving, Liveness::Dead].map(Liveness::as_str);
     assert_eq!(printed, ["alive", "suspect", "leaving", "dead"]);
 }
+
+#[test]
+fn the_outcome_of_an_order_keeps_its_texts() {
+    let outcomes = [
+        OrderOutcome::Accepted,
+        OrderOutcome::Held,
+        OrderOutcome::Refused,
+        OrderOutcome::Unknown,
+        OrderOutcome::NotSent,
+    ];
+    assert_eq!(outcomes.map(OrderOutcome::as_str), ["accepted", "held", "refused", "unknown", "notsent"]);
+}
--- a/crates/trestlerackd/src/entry/metrics.rs
+++ b/crates/trestlerackd/src/entry/metrics.rs
@@ -81,7 +81,7 @@
 
     /// Counts an order by its outcome.
     pub fn order(&self, outcome: OrderOutcome) {
-        self.orders.add(1, &[KeyValue::new("outcome", format!("{outcome:?}").to_lowercase())]);
+        self.orders.add(1, &[KeyValue::new("outcome", outcome.as_str())]);
     }
 
     /// Counts windows of usage that were not reported.
--- a/crates/trestlerackd/src/entry/weights.rs
+++ b/crates/trestlerackd/src/entry/weights.rs
@@ -320,14 +320,13 @@
 }
 
 fn log_order(order: &DueOrder, fence: u64, orders_before: u64, outcome: OrderOutcome) {
-    let outcome = format!("{outcome:?}").to_lowercase();
     let fields: [(&str, &dyn std::fmt::Display); 6] = [
         ("engine", &order.instance),
         ("model", &order.model),
         ("version", &order.version),
         ("fence", &fence),
         ("orders_before", &orders_before),
-        ("outcome", &outcome),
+        ("outcome", &outcome.as_str()),
     ];
     logs::write(event::ENGINE_ORDERED, &fields);
 }
