--- a/crates/trestlerack/src/request/ledger/mod.rs
+++ b/crates/trestlerack/src/request/ledger/mod.rs
@@ -40,6 +40,19 @@
     Impossible,
 }
 
+impl RunEnd {
+    /// Returns the name that logs and metrics use.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::Whole => "whole",
+            Self::Broken => "broken",
+            Self::NotRun => "notrun",
+            Self::Failed => "failed",
+            Self::Impossible => "impossible",
+        }
+    }
+}
+
 /// Settings of a [`JobLedger`].
 #[derive(Clone, Debug)]
 pub struct LedgerSettings {
--- a/crates/trestlerack/tests/printed_texts.rs
+++ b/crates/trestlerack/tests/printed_texts.rs
@@ -1,6 +1,7 @@
 //! The texts that logs and metrics print for the variants of this crate's types.
 
 use trestlerack::process::Liveness;
+use trestlerack::request::RunEnd;
 use trestlerack::version::OrderOutcome;
 
 #[test]
@@ -20,3 +21,9 @@
     ];
     assert_eq!(outcomes.map(OrderOutcome::as_str), ["accepted", "held", "refused", "unknown", "notsent"]);
 }
+
+#[test]
+fn the_end_of_a_run_keeps_its_texts() {
+    let ends = [RunEnd::Whole, RunEnd::Broken, RunEnd::NotRun, RunEnd::Failed, RunEnd::Impossible];
+    assert_eq!(ends.map(RunEnd::as_str), ["whole", "broken", "notrun", "failed", "impossible"]);
+}
