--- a/crates/trestlerackd/src/entry/engine_calls.rs
+++ b/crates/trestlerackd/src/entry/engine_calls.rs
@@ -56,7 +56,10 @@
         Ok((StatusCode::OK, body)) => platform::decode_report(body).ok(),
         _ => None,
     };
-    logs::write(event::ENGINE_ASKED, &[("engine", &entry.instance), ("report", &format!("{report:?}"))]);
+    logs::write(
+        event::ENGINE_ASKED,
+        &[("engine", &entry.instance), ("report", &platform::report_text(report.as_ref()))],
+    );
     report
 }
 
