--- a/crates/trestlerack/src/request/job.rs
+++ b/crates/trestlerack/src/request/job.rs
@@ -187,6 +187,18 @@
     OtherVersion,
 }
 
+impl TranscriptError {
+    /// Returns the name that logs use.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::OutOfOrder => "OutOfOrder",
+            Self::TooOld => "TooOld",
+            Self::NoVersion => "NoVersion",
+            Self::OtherVersion => "OtherVersion",
+        }
+    }
+}
+
 /// Numbers that the first event of a stream may have.
 const FIRST_NUMBERS: std::ops::RangeInclusive<u64> = 0..=1;
 
--- a/crates/trestlerack/tests/printed_texts.rs
+++ b/crates/trestlerack/tests/printed_texts.rs
@@ -1,7 +1,7 @@
 //! The texts that logs and metrics print for the variants of this crate's types.
 
 use trestlerack::process::Liveness;
-use trestlerack::request::RunEnd;
+use trestlerack::request::{RunEnd, TranscriptError};
 use trestlerack::version::OrderOutcome;
 
 #[test]
@@ -27,3 +27,14 @@
     let ends = [RunEnd::Whole, RunEnd::Broken, RunEnd::NotRun, RunEnd::Failed, RunEnd::Impossible];
     assert_eq!(ends.map(RunEnd::as_str), ["whole", "broken", "notrun", "failed", "impossible"]);
 }
+
+#[test]
+fn the_fault_of_an_event_keeps_its_texts() {
+    let faults = [
+        TranscriptError::OutOfOrder,
+        TranscriptError::TooOld,
+        TranscriptError::NoVersion,
+        TranscriptError::OtherVersion,
+    ];
+    assert_eq!(faults.map(TranscriptError::as_str), ["OutOfOrder", "TooOld", "NoVersion", "OtherVersion"]);
+}
--- a/crates/trestlerackd/src/entry/item_run.rs
+++ b/crates/trestlerackd/src/entry/item_run.rs
@@ -198,7 +198,7 @@
             }
             let appended = driver.ledger.lock().unwrap().append(trace.index, trace.lane, &event, version);
             if let Err(error) = appended {
-                return (RunEnd::Broken, format!("event {} cannot be used: {error:?}", event.number));
+                return (RunEnd::Broken, format!("event {} cannot be used: {}", event.number, error.as_str()));
             }
         }
     }
