--- a/crates/trestlerackd/src/entry/item_run.rs
+++ b/crates/trestlerackd/src/entry/item_run.rs
@@ -61,7 +61,7 @@
             ("item", &item.id),
             ("job", &driver.spec.id),
             ("engine", &engine),
-            ("end", &format!("{end:?}").to_lowercase()),
+            ("end", &end.as_str()),
             ("why", &why),
             ("events", &trace.events),
             ("longest_gap_ms", &trace.longest_gap.as_millis()),
@@ -198,7 +198,7 @@
             }
             let appended = driver.ledger.lock().unwrap().append(trace.index, trace.lane, &event, version);
             if let Err(error) = appended {
-                return (RunEnd::Broken, format!("event {} cannot be used: {error:?}", event.number));
+                return (RunEnd::Broken, format!("event {} cannot be used: {}", event.number, error.as_str()));
             }
         }
     }
--- a/crates/trestlerackd/src/entry/metrics.rs
+++ b/crates/trestlerackd/src/entry/metrics.rs
@@ -71,7 +71,7 @@
 
     /// Counts a run of an item by how it ended.
     pub fn run(&self, end: RunEnd) {
-        self.runs.add(1, &[KeyValue::new("end", format!("{end:?}").to_lowercase())]);
+        self.runs.add(1, &[KeyValue::new("end", end.as_str())]);
     }
 
     /// Counts recorded results.
@@ -81,7 +81,7 @@
 
     /// Counts an order by its outcome.
     pub fn order(&self, outcome: OrderOutcome) {
-        self.orders.add(1, &[KeyValue::new("outcome", format!("{outcome:?}").to_lowercase())]);
+        self.orders.add(1, &[KeyValue::new("outcome", outcome.as_str())]);
     }
 
     /// Counts windows of usage that were not reported.
