--- a/crates/trestlerack/src/process/room/mod.rs
+++ b/crates/trestlerack/src/process/admission/mod.rs
@@ -2,14 +2,14 @@
 //!
 //! Decisions only; see [docs/design/room.md](../../../../../docs/design/room.md).
 
-mod parts;
 mod queue;
-mod returns;
+mod retries;
+mod served_fractions;
 
 pub use queue::{
     AdmissionQueue, CallAdmission, CallFate, CallKind, CallNumber, CallRefusal, RefusalReason, ServiceView, WaitingCall,
 };
-pub use returns::{AttemptReason, ReturnTimes, SecondAttempts};
+pub use retries::{AttemptReason, ReturnTimes, SecondAttempts};
 
 use std::time::Duration;
 
--- a/crates/trestlerack/src/process/room/queue.rs
+++ b/crates/trestlerack/src/process/admission/queue.rs
@@ -1,8 +1,8 @@
 //! The calls that wait for a place of one service.
 
 use super::RoomSettings;
-use super::parts::{RankClass, RankParts};
-use super::returns::ReturnTimes;
+use super::retries::ReturnTimes;
+use super::served_fractions::{RankClass, RankParts};
 use crate::process::{CallRank, WaitEstimate};
 use crate::{Name, Timestamp};
 use std::time::Duration;
--- a/crates/trestlerack/src/process/mod.rs
+++ b/crates/trestlerack/src/process/mod.rs
@@ -1,5 +1,6 @@
 //! What lives as long as the process: peers, ownership, leases, limits, steps and the spool.
 
+mod admission;
 mod answer_time;
 mod broadcast;
 mod call_rank;
@@ -8,11 +9,12 @@
 mod end_news;
 mod engine_fleet;
 mod engine_memory;
+mod engine_priority;
 mod entry_settings;
 mod event_pace;
 mod expectation;
 mod feed_log;
-mod held;
+mod hedging;
 mod job_owner;
 mod lease;
 mod leaving;
@@ -23,14 +25,12 @@
 mod node_rows;
 mod outlier;
 mod ownership;
-mod pacing;
 mod placement;
 mod registry;
 mod relay_choice;
-mod room;
-mod run_limits;
+mod resource_limits;
 mod run_move;
-mod second_attempt;
+mod run_timeouts;
 mod server_belief;
 mod server_lines;
 mod server_notes;
@@ -39,16 +39,20 @@
 mod settings;
 mod shares;
 mod spool;
+mod stable_wall_clock;
 mod standing;
-mod steady_wall;
 mod step;
 mod step_store;
+mod store_pacing;
 mod suspects;
 mod suspension;
-mod urgency;
 mod usage;
 mod wait_estimate;
 
+pub use admission::{
+    AdmissionQueue, AttemptReason, CallAdmission, CallFate, CallKind, CallNumber, CallRefusal, RefusalReason,
+    ReturnTimes, RoomSettings, SecondAttempts, ServiceView, WaitingCall,
+};
 pub use answer_time::AnswerTimes;
 pub use broadcast::BroadcastQueue;
 pub use call_rank::{CallRank, call_priority};
@@ -57,14 +61,10 @@
 pub use end_news::{EndNews, EndNewsSettings};
 pub use engine_fleet::{EngineFleet, FleetRow, FleetSettings, ScalingTerms, ZoneEngines, ZoneOrder};
 pub use engine_memory::{EngineMemory, SharedPrompt, TokenNeed};
+pub use engine_priority::{CallHistory, ServiceRanks, engine_rank, shows_preemption};
 pub use entry_settings::{ENTRY_FIELDS, EntrySettings, parse_entry_settings};
 pub use event_pace::{EventPace, PaceSample};
 pub use feed_log::{FeedLog, FeedPlace};
-pub use held::{
-    ByteLedger, CONNECTION_BYTES, DescriptorBoard, DescriptorBounds, DescriptorKind, DescriptorSeat, HeldBounds,
-    HeldBytes, HeldPurpose, IdleClient, LedgerView, REQUEST_BYTES, ReadPace, ReaderView, SMALL_BYTES, STREAM_BYTES,
-    SendPace, SenderView, TakeRefusal, is_pressed, longest_idle, reader_to_cut, run_limit, sender_to_refuse,
-};
 pub use job_owner::{OwnerCandidate, choose_job_owner, successor_rank};
 pub use lease::{LeaseGrant, LeaseKeeper, LeaseRow, LeaseSettings, LeaseStep};
 pub use leaving::LeavingBoard;
@@ -77,16 +77,16 @@
 pub use node_rows::{NODE_PARTITIONS, NodeRow, NodeRows, is_node_partition, node_partition};
 pub use outlier::{OutlierDetector, OutlierSettings};
 pub use ownership::{ModelOwner, NodeView, OwnerTable, OwnershipView};
-pub use pacing::{failure_pause, rate_pause, watch_pause};
 pub use placement::{BoardSettings, ServerBoard, ServerNeed, ServerRoom};
 pub use registry::{RegistrySettings, ServerEntry, ServerRegistry};
 pub use relay_choice::RelayChoice;
-pub use room::{
-    AdmissionQueue, AttemptReason, CallAdmission, CallFate, CallKind, CallNumber, CallRefusal, RefusalReason,
-    ReturnTimes, RoomSettings, SecondAttempts, ServiceView, WaitingCall,
+pub use resource_limits::{
+    ByteLedger, CONNECTION_BYTES, DescriptorBoard, DescriptorBounds, DescriptorKind, DescriptorSeat, HeldBounds,
+    HeldBytes, HeldPurpose, IdleClient, LedgerView, REQUEST_BYTES, ReadPace, ReaderView, SMALL_BYTES, STREAM_BYTES,
+    SendPace, SenderView, TakeRefusal, is_pressed, longest_idle, reader_to_cut, run_limit, sender_to_refuse,
 };
-pub use run_limits::RunLimits;
 pub use run_move::{LAST_MOVE_SLOWNESS, MOVE_SLOWNESS, RunMove};
+pub use run_timeouts::RunLimits;
 pub use server_belief::{ChoiceBasis, ServerBelief};
 pub use server_lines::{ServerLine, ToldLine};
 pub use server_notes::server_gossip;
@@ -97,19 +97,19 @@
     fair_shares,
 };
 pub use spool::{SampleSpool, SpoolSettings};
+pub use stable_wall_clock::SteadyWall;
 pub use standing::{ServerFigures, ServerStanding};
-pub use steady_wall::SteadyWall;
 pub use step::{
     GroupRow, GroupSpec, SealDecision, SealedGroup, StepRow, StepState, StepSubmission, decide_seal, group_key,
     group_prefix, open_key, step_key,
 };
 pub use step_store::{MadeGroup, ManifestCache, Opened, Recorded, StepLook, StepStore};
+pub use store_pacing::{failure_pause, rate_pause, watch_pause};
 pub use suspects::{
     GossipSettings, NEWS_LAG, StrikeNote, SuspectBook, SuspectLine, SuspectRun, SuspectSettings, SuspectStanding,
     TrialBook, server_start,
 };
 pub use suspension::SuspensionGauge;
-pub use urgency::{CallHistory, ServiceRanks, engine_rank, shows_preemption};
 pub use usage::{
     CustomerCounts, UsageCounter, UsageDesk, UsageNote, UsageReport, UsageSender, UsageSettings, WindowNotes,
 };
--- a/crates/trestlerack/tests/room_load.rs
+++ b/crates/trestlerack/tests/admission_load.rs
@@ -1,11 +1,11 @@
 //! Calls for more than the room of a service, each second of some, as its queue orders them.
 
-#[path = "support/room.rs"]
-mod room;
+#[path = "support/admission.rs"]
+mod admission;
 
+use admission::{BusyServers, OBJECTIVE, call_of};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use room::{BusyServers, OBJECTIVE, call_of};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use trestlerack::Timestamp;
--- a/crates/trestlerack/tests/room_queue.rs
+++ b/crates/trestlerack/tests/admission_queue.rs
@@ -2,12 +2,12 @@
 
 mod support;
 
-#[path = "support/room.rs"]
-mod room;
+#[path = "support/admission.rs"]
+mod admission;
 
+use admission::{BusyServers, OBJECTIVE, PATIENCE, call_of};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use room::{BusyServers, OBJECTIVE, PATIENCE, call_of};
 use std::collections::BTreeSet;
 use std::time::Duration;
 use support::for_seeds;
