--- a/crates/trestlerack/src/process/mod.rs
+++ b/crates/trestlerack/src/process/mod.rs
@@ -81,9 +81,10 @@
 pub use registry::{RegistrySettings, ServerEntry, ServerRegistry};
 pub use relay_choice::RelayChoice;
 pub use resource_limits::{
-    ByteLedger, CONNECTION_BYTES, DescriptorBoard, DescriptorBounds, DescriptorKind, DescriptorSeat, HeldBounds,
-    HeldBytes, HeldPurpose, IdleClient, LedgerView, REQUEST_BYTES, ReadPace, ReaderView, SMALL_BYTES, STREAM_BYTES,
-    SendPace, SenderView, TakeRefusal, is_pressed, longest_idle, reader_to_cut, run_limit, sender_to_refuse,
+    CONNECTION_BYTES, ConnectionCounter, ConnectionKind, ConnectionLimits, ConnectionPermit, DownloadProgress,
+    DownloadStatus, IdleClient, MemoryLimits, MemoryPool, MemoryPurpose, MemoryReservation, MemoryUsage, REQUEST_BYTES,
+    ReserveError, SMALL_BYTES, STREAM_BYTES, UploadProgress, UploadStatus, download_to_close, is_near_limit,
+    longest_idle, run_limit, upload_to_refuse,
 };
 pub use run_move::{LAST_MOVE_SLOWNESS, MOVE_SLOWNESS, RunMove};
 pub use run_timeouts::RunLimits;
--- a/crates/trestlerack/src/process/resource_limits/connections.rs
+++ b/crates/trestlerack/src/process/resource_limits/connections.rs
@@ -1,38 +1,38 @@
-//! Bounds of open connections by kind, so that a flood of one kind never takes the place of another.
+//! Limits on open connections by kind, so that a flood of one kind cannot exhaust the descriptors of another.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Descriptors that connections cannot have: files and listeners.
-const OWN_DESCRIPTORS: usize = 264;
+/// Descriptors reserved for files and listeners, which connections cannot use.
+const RESERVED_DESCRIPTORS: usize = 264;
 
-/// Time for which a connection is idle between requests before it may be closed for another one; the
-/// next request may be on its way to a younger one.
-const LEAST_IDLE: Duration = Duration::from_millis(500);
+/// Minimum idle time between requests before a connection may be closed in favor of a new one. The next
+/// request may already be on its way on a connection that has been idle for less.
+const MIN_IDLE: Duration = Duration::from_millis(500);
 
-/// The same for a connection on which no request has come. A client that connects has a request, and
-/// sends it within a round trip or two.
-const LEAST_UNUSED: Duration = Duration::from_millis(100);
+/// Minimum age before a connection without any request may be closed in favor of a new one. A client that
+/// connects has a request to send, and sends it within one or two round trips.
+const MIN_UNUSED: Duration = Duration::from_millis(100);
 
-/// What a connection is for.
+/// The purpose of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DescriptorKind {
-    /// Clients' connections to this node.
+pub enum ConnectionKind {
+    /// Connections from clients to this node.
     Clients,
-    /// Peers' connections to this node.
+    /// Connections from peers to this node.
     Peers,
-    /// Connections to backend servers and peers.
+    /// Connections from this node to backend servers and peers.
     Servers,
     /// Connections to the store.
     Store,
 }
 
-impl DescriptorKind {
+impl ConnectionKind {
     /// All kinds.
     pub const ALL: [Self; 4] = [Self::Clients, Self::Peers, Self::Servers, Self::Store];
 
-    /// Returns the word that metrics use.
+    /// Returns the name of the kind in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Clients => "clients",
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Returns the kind's share of all descriptors. Requests need one on each side; each of some hundreds
-    /// of peers may keep a connection.
+    /// Returns the share of the descriptors that connections of this kind may use. A request needs a
+    /// connection to its client and one to its server, and each of several hundred peers may keep one open.
     fn share(self) -> f64 {
         match self {
             Self::Clients => 0.4,
@@ -54,101 +54,101 @@
     }
 }
 
-/// Most connections of each kind.
+/// Maximum number of open connections of each kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct DescriptorBounds {
-    most: [usize; DescriptorKind::ALL.len()],
+pub struct ConnectionLimits {
+    limits: [usize; ConnectionKind::ALL.len()],
 }
 
-impl DescriptorBounds {
-    /// Divides the descriptors of a VM; 0 bounds nothing.
-    pub fn of_descriptors(max_descriptors: u64) -> Self {
+impl ConnectionLimits {
+    /// Divides the descriptors of a VM among the kinds; 0 descriptors means no limit.
+    pub fn from_descriptors(max_descriptors: u64) -> Self {
         let all = usize::try_from(max_descriptors).unwrap_or(usize::MAX);
         if all == 0 {
-            return Self { most: [usize::MAX; DescriptorKind::ALL.len()] };
+            return Self { limits: [usize::MAX; ConnectionKind::ALL.len()] };
         }
-        let free = all.saturating_sub(OWN_DESCRIPTORS) as f64;
-        Self { most: DescriptorKind::ALL.map(|kind| ((free * kind.share()) as usize).max(1)) }
+        let available = all.saturating_sub(RESERVED_DESCRIPTORS) as f64;
+        Self { limits: ConnectionKind::ALL.map(|kind| ((available * kind.share()) as usize).max(1)) }
     }
 
-    /// Lowers the bound of a kind, where something else allows fewer.
-    pub fn at_most(mut self, kind: DescriptorKind, most: usize) -> Self {
-        let held = &mut self.most[kind as usize];
-        *held = (*held).min(most);
+    /// Lowers the limit of a kind to `max` if it is higher, for kinds that are also limited by another resource.
+    pub fn capped(mut self, kind: ConnectionKind, max: usize) -> Self {
+        let limit = &mut self.limits[kind as usize];
+        *limit = (*limit).min(max);
         self
     }
 
-    /// Returns the bound of a kind.
-    pub fn of(&self, kind: DescriptorKind) -> usize {
-        self.most[kind as usize]
+    /// Returns the limit of a kind.
+    pub fn of(&self, kind: ConnectionKind) -> usize {
+        self.limits[kind as usize]
     }
 }
 
-/// Counts open connections by kind.
+/// Counts open connections by kind and enforces their limits.
 #[derive(Clone, Debug)]
-pub struct DescriptorBoard {
-    bounds: DescriptorBounds,
-    open: Arc<[AtomicUsize; DescriptorKind::ALL.len()]>,
+pub struct ConnectionCounter {
+    limits: ConnectionLimits,
+    open: Arc<[AtomicUsize; ConnectionKind::ALL.len()]>,
 }
 
-impl DescriptorBoard {
-    /// Builds a board on which nothing is open.
-    pub fn new(bounds: DescriptorBounds) -> Self {
-        Self { bounds, open: Arc::default() }
+impl ConnectionCounter {
+    /// Creates a counter without open connections.
+    pub fn new(limits: ConnectionLimits) -> Self {
+        Self { limits, open: Arc::default() }
     }
 
-    /// Takes the seat of a connection, or returns `None` where its kind has no more.
-    pub fn take(&self, kind: DescriptorKind) -> Option<DescriptorSeat> {
-        self.take_beyond(kind, 0)
+    /// Acquires a permit for a connection, or returns `None` if its kind is at its limit.
+    pub fn try_acquire(&self, kind: ConnectionKind) -> Option<ConnectionPermit> {
+        self.try_acquire_beyond(kind, 0)
     }
 
-    /// Takes a seat that may be one of `more` beyond the bound, for connections that end at once.
-    pub fn take_beyond(&self, kind: DescriptorKind, more: usize) -> Option<DescriptorSeat> {
-        let most = self.bounds.of(kind).saturating_add(more);
+    /// Acquires a permit up to `extra` connections beyond the limit, for connections that end soon.
+    pub fn try_acquire_beyond(&self, kind: ConnectionKind, extra: usize) -> Option<ConnectionPermit> {
+        let max = self.limits.of(kind).saturating_add(extra);
         let before = self.open[kind as usize].fetch_add(1, Ordering::Relaxed);
-        // Dropped where it is one too many, which takes the count back.
-        let seat = DescriptorSeat { open: self.open.clone(), kind };
-        (before < most).then_some(seat)
+        // If the limit is exceeded, dropping the permit decrements the counter again.
+        let permit = ConnectionPermit { open: self.open.clone(), kind };
+        (before < max).then_some(permit)
     }
 
-    /// Returns how many connections of a kind are open.
-    pub fn open(&self, kind: DescriptorKind) -> usize {
+    /// Returns the number of open connections of a kind.
+    pub fn open(&self, kind: ConnectionKind) -> usize {
         self.open[kind as usize].load(Ordering::Relaxed)
     }
 
-    /// Returns the bounds.
-    pub fn bounds(&self) -> DescriptorBounds {
-        self.bounds
+    /// Returns the limits.
+    pub fn limits(&self) -> ConnectionLimits {
+        self.limits
     }
 }
 
-/// The seat of an open connection; dropping it frees the seat.
+/// Permission for one open connection, released on drop.
 #[derive(Debug)]
-pub struct DescriptorSeat {
-    open: Arc<[AtomicUsize; DescriptorKind::ALL.len()]>,
-    kind: DescriptorKind,
+pub struct ConnectionPermit {
+    open: Arc<[AtomicUsize; ConnectionKind::ALL.len()]>,
+    kind: ConnectionKind,
 }
 
-impl Drop for DescriptorSeat {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.open[self.kind as usize].fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// A client's connection on which no request is served.
+/// A client connection that is not serving a request.
 #[derive(Clone, Copy, Debug)]
 pub struct IdleClient {
-    /// The connection.
+    /// Id of the connection.
     pub id: u64,
-    /// Time since its last request, or since it was opened.
+    /// Time since the last request, or since the connection was opened.
     pub idle: Duration,
-    /// Whether a request has come.
+    /// Whether the connection has received a request.
     pub is_used: bool,
 }
 
-/// Returns the connection that has been idle for longest, if it may be closed for another one.
-pub fn longest_idle(idle: impl Iterator<Item = IdleClient>) -> Option<u64> {
-    let least = |client: &IdleClient| if client.is_used { LEAST_IDLE } else { LEAST_UNUSED };
-    let may_close = idle.filter(|client| client.idle >= least(client));
-    may_close.max_by_key(|client| client.idle).map(|client| client.id)
+/// Returns the connection that has been idle longest among those that may be closed in favor of a new one.
+pub fn longest_idle(clients: impl Iterator<Item = IdleClient>) -> Option<u64> {
+    let min_idle = |client: &IdleClient| if client.is_used { MIN_IDLE } else { MIN_UNUSED };
+    let closable = clients.filter(|client| client.idle >= min_idle(client));
+    closable.max_by_key(|client| client.idle).map(|client| client.id)
 }
--- a/crates/trestlerack/src/process/resource_limits/load_shedding.rs
+++ b/crates/trestlerack/src/process/resource_limits/load_shedding.rs
@@ -1,79 +1,82 @@
-//! Who gives way when what is held nears its bound.
+//! Which work is dropped or limited when the memory pool nears its limit.
 //!
-//! Large new bodies are refused first, by the ledger. Then comes the sender that holds most for its
-//! progress, then the reply of the slowest reader that holds most. Small holders are never chosen.
+//! The pool first refuses large new bodies. Next, the upload that uses the most memory relative to its
+//! progress is refused, and then the connection of a stalled download that uses much memory is closed.
+//! Small uploads and downloads are never selected.
 
 use super::SMALL_BYTES;
 use std::time::Duration;
 
-/// Share of the bound from which senders give way and fewer runs are started.
-const PRESSED_SHARE: f64 = 0.75;
+/// Fraction of the limit from which uploads are refused and runs are limited.
+const NEAR_LIMIT_FRACTION: f64 = 0.75;
 
-/// Runs at once where that share is reached; they fall to one at the bound.
-const MOST_PRESSED_RUNS: usize = 64;
+/// Maximum number of concurrent runs at that fraction; it falls to one at the limit.
+const MAX_RUNS_NEAR_LIMIT: usize = 64;
 
-/// Age from which a sender may be refused, so that its progress is known.
-const SENDER_AGE: Duration = Duration::from_millis(500);
+/// Minimum age at which an upload may be refused, so that its progress is known.
+const MIN_UPLOAD_AGE: Duration = Duration::from_millis(500);
 
-/// Time for which a reader takes nothing before its reply may be cut: longer than a lost packet takes.
-const READER_PAUSE: Duration = Duration::from_secs(1);
+/// Minimum stall after which a download may be closed. It is longer than the retransmission of a lost packet
+/// takes.
+const MIN_DOWNLOAD_PAUSE: Duration = Duration::from_secs(1);
 
-/// A sender whose body is being read.
+/// State of a request body that is being received.
 #[derive(Clone, Copy, Debug)]
-pub struct SenderView {
-    /// Its connection.
+pub struct UploadStatus {
+    /// Id of the upload.
     pub id: u64,
-    /// Bytes that are held for it.
-    pub held: usize,
-    /// Bytes that came.
+    /// Reserved bytes.
+    pub reserved: usize,
+    /// Received bytes.
     pub received: usize,
-    /// Time since the head of its request.
+    /// Time since the head of the request arrived.
     pub age: Duration,
 }
 
-/// A reader whose reply is being written.
+/// State of a response whose client is not reading.
 #[derive(Clone, Copy, Debug)]
-pub struct ReaderView {
-    /// Its connection.
+pub struct DownloadStatus {
+    /// Id of the connection.
     pub id: u64,
-    /// Bytes that are held for it.
-    pub held: usize,
-    /// Time for which it has taken nothing.
+    /// Reserved bytes.
+    pub reserved: usize,
+    /// Time for which the client has read nothing.
     pub pause: Duration,
 }
 
-/// Returns the sender that holds most for its progress.
-pub fn sender_to_refuse(senders: &[SenderView]) -> Option<u64> {
-    let may_go = |sender: &&SenderView| sender.held > SMALL_BYTES && sender.age >= SENDER_AGE;
-    let hold = |sender: &SenderView| {
-        let progress = sender.received.max(1) as f64 / sender.age.as_secs_f64();
-        sender.held as f64 / progress
+/// Returns the upload that uses the most memory relative to its progress.
+pub fn upload_to_refuse(uploads: &[UploadStatus]) -> Option<u64> {
+    let is_eligible = |upload: &&UploadStatus| upload.reserved > SMALL_BYTES && upload.age >= MIN_UPLOAD_AGE;
+    let cost = |upload: &UploadStatus| {
+        let rate = upload.received.max(1) as f64 / upload.age.as_secs_f64();
+        upload.reserved as f64 / rate
     };
-    let most = senders.iter().filter(may_go).max_by(|left, right| hold(left).total_cmp(&hold(right)));
-    most.map(|sender| sender.id)
+    let costliest = uploads.iter().filter(is_eligible).max_by(|left, right| cost(left).total_cmp(&cost(right)));
+    costliest.map(|upload| upload.id)
 }
 
-/// Returns the slowest reader that holds most, of those that take nothing.
-pub fn reader_to_cut(readers: &[ReaderView]) -> Option<u64> {
-    let may_go = |reader: &&ReaderView| reader.held > SMALL_BYTES && reader.pause >= READER_PAUSE;
-    let weight = |reader: &ReaderView| reader.held as f64 * reader.pause.as_secs_f64();
-    let most = readers.iter().filter(may_go).max_by(|left, right| weight(left).total_cmp(&weight(right)));
-    most.map(|reader| reader.id)
+/// Returns the stalled download with the highest product of reserved bytes and length of the stall.
+pub fn download_to_close(downloads: &[DownloadStatus]) -> Option<u64> {
+    let is_eligible =
+        |download: &&DownloadStatus| download.reserved > SMALL_BYTES && download.pause >= MIN_DOWNLOAD_PAUSE;
+    let cost = |download: &DownloadStatus| download.reserved as f64 * download.pause.as_secs_f64();
+    let costliest = downloads.iter().filter(is_eligible).max_by(|left, right| cost(left).total_cmp(&cost(right)));
+    costliest.map(|download| download.id)
 }
 
-/// Returns how many runs of items a node may have at once; `None` below three quarters of the bound.
+/// Returns how many item runs a node may have at once; `None` below three quarters of the limit.
 ///
-/// One may always run, so that accepted jobs come to their end and free what they hold.
-pub fn run_limit(total: usize, bound: usize) -> Option<usize> {
-    if !is_pressed(total, bound) {
+/// One run is always allowed, so that accepted jobs can finish and release their memory.
+pub fn run_limit(total: usize, limit: usize) -> Option<usize> {
+    if !is_near_limit(total, limit) {
         return None;
     }
-    let pressed = bound as f64 * PRESSED_SHARE;
-    let left = (bound as f64 - total as f64).max(0.0) / (bound as f64 - pressed);
-    Some(((MOST_PRESSED_RUNS as f64 * left) as usize).max(1))
+    let threshold = limit as f64 * NEAR_LIMIT_FRACTION;
+    let left = (limit as f64 - total as f64).max(0.0) / (limit as f64 - threshold);
+    Some(((MAX_RUNS_NEAR_LIMIT as f64 * left) as usize).max(1))
 }
 
-/// Returns whether what is held is so near its bound that senders give way and runs wait.
-pub fn is_pressed(total: usize, bound: usize) -> bool {
-    bound != usize::MAX && total as f64 >= bound as f64 * PRESSED_SHARE
+/// Returns whether the reserved bytes are so close to the limit that uploads are refused and runs are limited.
+pub fn is_near_limit(total: usize, limit: usize) -> bool {
+    limit != usize::MAX && total as f64 >= limit as f64 * NEAR_LIMIT_FRACTION
 }
--- a/crates/trestlerack/src/process/resource_limits/memory.rs
+++ b/crates/trestlerack/src/process/resource_limits/memory.rs
@@ -1,59 +1,62 @@
-//! Counts the bytes that a node holds, by what for and for whom.
+//! Accounts for the memory that a node uses, by purpose and by customer.
 
 use crate::Name;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// A megabyte, as the settings count memory.
+/// Bytes of a megabyte in the settings.
 const MEGABYTE: usize = 1_000_000;
 
-/// What the process needs with nothing held: code, tables of peers and servers, buffers of its own links.
+/// Memory of the process without any request: code, tables of peers and servers, and buffers of its own
+/// connections.
 const PROCESS_BYTES: usize = 24 * MEGABYTE;
 
-/// Share of the memory left as working room, for copies in flight and what the allocator keeps.
-const WORKING_SHARE: f64 = 0.25;
+/// Fraction of the VM's memory that is left unaccounted, for copies in flight and allocator overhead.
+const OVERHEAD_FRACTION: f64 = 0.25;
 
-/// Most bytes of a small call, which may use the reserve.
+/// Largest reservation of a small call in bytes. Small calls may use the reserve.
 pub const SMALL_BYTES: usize = 64 * 1024;
 
-/// Share of the bound that only small calls may use.
-const RESERVE_SHARE: f64 = 0.125;
+/// Fraction of the limit that only small calls may use.
+const RESERVE_FRACTION: f64 = 0.125;
 
-/// Share of the bound up to which new large bodies are read; what is above is for what has begun.
-const BODY_SHARE: f64 = 0.5;
+/// Fraction of the limit up to which large request bodies are accepted. The rest is left for requests that
+/// have already started.
+const BODY_FRACTION: f64 = 0.5;
 
-/// What an open connection of a client costs: its task and its read buffer.
+/// Memory per open client connection: its task and its read buffer.
 pub const CONNECTION_BYTES: usize = 16 * 1024;
 
-/// What a request in progress costs beside its body and its answer: its tasks and buffers on both sides.
+/// Memory per request in progress in addition to its body and its response: tasks and buffers of both
+/// connections.
 pub const REQUEST_BYTES: usize = 40 * 1024;
 
-/// What an open stream costs: buffers on both sides and the event in between.
+/// Memory per open stream: buffers of both connections and the event in between.
 pub const STREAM_BYTES: usize = 48 * 1024;
 
-/// What bytes are held for.
+/// What memory is reserved for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum HeldPurpose {
-    /// Bodies of requests that come in.
+pub enum MemoryPurpose {
+    /// Bodies of incoming requests.
     Bodies,
-    /// Answers that go out.
+    /// Responses to clients.
     Answers,
-    /// Streams that are passed on.
+    /// Streams relayed to clients.
     Streams,
-    /// Specifications and texts of jobs that this node drives.
+    /// Specifications and generated texts of the jobs that this node drives.
     Texts,
-    /// Calls of peers.
+    /// Requests of peers.
     Peers,
-    /// Open connections of clients and their requests in progress.
+    /// Open client connections and their requests in progress.
     Connections,
 }
 
-impl HeldPurpose {
+impl MemoryPurpose {
     /// All purposes.
     pub const ALL: [Self; 6] =
         [Self::Bodies, Self::Answers, Self::Streams, Self::Texts, Self::Peers, Self::Connections];
 
-    /// Returns the word that metrics use.
+    /// Returns the name of the purpose in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Bodies => "bodies",
@@ -66,71 +69,71 @@
     }
 }
 
-/// How much may be held.
+/// Limits of a memory pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeldBounds {
-    /// Most bytes held for everything; `usize::MAX` where nothing is bounded.
+pub struct MemoryLimits {
+    /// Maximum number of reserved bytes; `usize::MAX` means no limit.
     pub total: usize,
 }
 
-impl HeldBounds {
-    /// Derives the bounds from the VM's memory in megabytes; 0 bounds nothing.
-    pub fn of_memory(memory_mb: u64) -> Self {
+impl MemoryLimits {
+    /// Derives the limits from the VM's memory in megabytes; 0 means no limit.
+    pub fn from_memory(memory_mb: u64) -> Self {
         if memory_mb == 0 {
             return Self { total: usize::MAX };
         }
         let memory = usize::try_from(memory_mb).unwrap_or(usize::MAX).saturating_mul(MEGABYTE);
-        let working = share(memory, WORKING_SHARE);
-        // A VM smaller than the process needs still serves small calls, one after the other.
-        let total = memory.saturating_sub(PROCESS_BYTES + working).max(16 * SMALL_BYTES);
+        let overhead = fraction_of(memory, OVERHEAD_FRACTION);
+        // A VM that is smaller than the process needs can still serve small calls one by one.
+        let total = memory.saturating_sub(PROCESS_BYTES + overhead).max(16 * SMALL_BYTES);
         Self { total }
     }
 
-    /// Returns whether anything is bounded.
+    /// Returns whether there is a limit.
     pub fn is_bounded(self) -> bool {
         self.total != usize::MAX
     }
 
-    /// Returns up to where the total may rise by a take that makes its holder `held` bytes large.
-    fn limit(self, purpose: HeldPurpose, held: usize) -> usize {
+    /// Returns the total up to which a reservation may grow to `reserved` bytes.
+    fn limit(self, purpose: MemoryPurpose, reserved: usize) -> usize {
         match purpose {
             _ if !self.is_bounded() => usize::MAX,
-            _ if held <= SMALL_BYTES => self.total,
-            HeldPurpose::Bodies => share(self.total, BODY_SHARE),
+            _ if reserved <= SMALL_BYTES => self.total,
+            MemoryPurpose::Bodies => fraction_of(self.total, BODY_FRACTION),
             _ => self.total - self.reserve(),
         }
     }
 
-    /// Returns what small calls may hold in any case, also where what is only counted is above the bound.
+    /// Returns how many bytes small calls may use even if unconditional reservations exceed the limit.
     fn reserve(self) -> usize {
-        share(self.total, RESERVE_SHARE)
+        fraction_of(self.total, RESERVE_FRACTION)
     }
 }
 
-fn share(whole: usize, share: f64) -> usize {
-    (whole as f64 * share) as usize
+fn fraction_of(bytes: usize, fraction: f64) -> usize {
+    (bytes as f64 * fraction) as usize
 }
 
-/// Why bytes were not taken.
+/// Why memory could not be reserved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TakeRefusal {
-    /// They would not fit if nothing else was held.
-    Never,
-    /// They do not fit beside what is held now.
-    NotNow,
+pub enum ReserveError {
+    /// The reservation exceeds the limit even if nothing else is reserved.
+    TooLarge,
+    /// The pool does not have enough free bytes at the moment.
+    Exhausted,
 }
 
 #[derive(Debug, Default)]
-struct Sums {
+struct PoolTotals {
     total: usize,
-    by_purpose: [usize; HeldPurpose::ALL.len()],
+    by_purpose: [usize; MemoryPurpose::ALL.len()],
     by_customer: HashMap<Name, usize>,
-    /// Bytes of small holders that were taken, not only counted.
+    /// Bytes of small reservations that were subject to the limit, without unconditional ones.
     small: usize,
 }
 
-impl Sums {
-    fn add(&mut self, purpose: HeldPurpose, customer: Option<&Name>, bytes: usize) {
+impl PoolTotals {
+    fn add(&mut self, purpose: MemoryPurpose, customer: Option<&Name>, bytes: usize) {
         self.total += bytes;
         self.by_purpose[purpose as usize] += bytes;
         if let Some(customer) = customer.filter(|_| bytes > 0) {
@@ -138,151 +141,152 @@
         }
     }
 
-    fn subtract(&mut self, purpose: HeldPurpose, customer: Option<&Name>, bytes: usize) {
+    fn subtract(&mut self, purpose: MemoryPurpose, customer: Option<&Name>, bytes: usize) {
         self.total -= bytes;
         self.by_purpose[purpose as usize] -= bytes;
         let Some(customer) = customer else { return };
-        if let Some(held) = self.by_customer.get_mut(customer) {
-            *held -= bytes;
-            if *held == 0 {
+        if let Some(reserved) = self.by_customer.get_mut(customer) {
+            *reserved -= bytes;
+            if *reserved == 0 {
                 self.by_customer.remove(customer);
             }
         }
     }
 }
 
-/// What is held at a moment.
+/// A snapshot of the reserved bytes of a pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LedgerView {
-    /// All bytes.
+pub struct MemoryUsage {
+    /// All reserved bytes.
     pub total: usize,
-    /// Bytes by purpose, in the order of [`HeldPurpose::ALL`].
-    pub by_purpose: Vec<(HeldPurpose, usize)>,
-    /// Bytes by customer, the largest first.
+    /// Bytes by purpose, in the order of [`MemoryPurpose::ALL`].
+    pub by_purpose: Vec<(MemoryPurpose, usize)>,
+    /// Bytes by customer, in descending order.
     pub by_customer: Vec<(Name, usize)>,
 }
 
-/// The ledger of held bytes, shared by those who hold them.
+/// A pool of memory from which requests, responses and jobs reserve what they use. Clones share the pool.
 #[derive(Clone, Debug)]
-pub struct ByteLedger {
-    bounds: HeldBounds,
-    sums: Arc<Mutex<Sums>>,
+pub struct MemoryPool {
+    limits: MemoryLimits,
+    totals: Arc<Mutex<PoolTotals>>,
 }
 
-impl ByteLedger {
-    /// Builds an empty ledger.
-    pub fn new(bounds: HeldBounds) -> Self {
-        Self { bounds, sums: Arc::default() }
+impl MemoryPool {
+    /// Creates a pool without reservations.
+    pub fn new(limits: MemoryLimits) -> Self {
+        Self { limits, totals: Arc::default() }
     }
 
-    /// Returns the bounds.
-    pub fn bounds(&self) -> HeldBounds {
-        self.bounds
+    /// Returns the limits.
+    pub fn limits(&self) -> MemoryLimits {
+        self.limits
     }
 
-    /// Takes bytes that may be refused.
-    pub fn take(&self, purpose: HeldPurpose, bytes: usize) -> Result<HeldBytes, TakeRefusal> {
-        let mut held = self.count(purpose, 0);
-        held.grow(bytes)?;
-        Ok(held)
+    /// Reserves bytes within the limits, or returns why that is not possible.
+    pub fn try_reserve(&self, purpose: MemoryPurpose, bytes: usize) -> Result<MemoryReservation, ReserveError> {
+        let mut reservation = self.reserve(purpose, 0);
+        reservation.try_grow(bytes)?;
+        Ok(reservation)
     }
 
-    /// Counts bytes that are held in any case, as those of accepted jobs.
-    pub fn count(&self, purpose: HeldPurpose, bytes: usize) -> HeldBytes {
-        let mut held = HeldBytes { ledger: self.clone(), purpose, customer: None, bytes: 0, small: 0 };
-        held.set(bytes);
-        held
+    /// Reserves bytes regardless of the limits, for memory that is used in any case, such as that of accepted
+    /// jobs.
+    pub fn reserve(&self, purpose: MemoryPurpose, bytes: usize) -> MemoryReservation {
+        let mut reservation = MemoryReservation { pool: self.clone(), purpose, customer: None, bytes: 0, small: 0 };
+        reservation.resize(bytes);
+        reservation
     }
 
-    /// Returns how many bytes are held.
+    /// Returns the number of reserved bytes.
     pub fn total(&self) -> usize {
-        self.sums().total
+        self.totals().total
     }
 
-    /// Returns what is held.
-    pub fn view(&self) -> LedgerView {
-        let sums = self.sums();
-        let by_purpose = HeldPurpose::ALL.iter().map(|purpose| (*purpose, sums.by_purpose[*purpose as usize]));
+    /// Returns the reserved bytes by purpose and by customer.
+    pub fn usage(&self) -> MemoryUsage {
+        let totals = self.totals();
+        let by_purpose = MemoryPurpose::ALL.iter().map(|purpose| (*purpose, totals.by_purpose[*purpose as usize]));
         let by_purpose = by_purpose.collect();
         let mut by_customer: Vec<(Name, usize)> =
-            sums.by_customer.iter().map(|(name, bytes)| (name.clone(), *bytes)).collect();
+            totals.by_customer.iter().map(|(name, bytes)| (name.clone(), *bytes)).collect();
         by_customer.sort_by(|left, right| (right.1, &left.0).cmp(&(left.1, &right.0)));
-        LedgerView { total: sums.total, by_purpose, by_customer }
+        MemoryUsage { total: totals.total, by_purpose, by_customer }
     }
 
-    fn sums(&self) -> MutexGuard<'_, Sums> {
-        // The sums are whole after each step, so a panic elsewhere leaves them right.
-        self.sums.lock().unwrap_or_else(PoisonError::into_inner)
+    fn totals(&self) -> MutexGuard<'_, PoolTotals> {
+        // Each critical section leaves the totals consistent, so a poisoned lock is safe to use.
+        self.totals.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Bytes that are held; dropping this gives them back.
+/// Reserved bytes of a [`MemoryPool`], released on drop.
 #[derive(Debug)]
-pub struct HeldBytes {
-    ledger: ByteLedger,
-    purpose: HeldPurpose,
+pub struct MemoryReservation {
+    pool: MemoryPool,
+    purpose: MemoryPurpose,
     customer: Option<Name>,
     bytes: usize,
-    /// How many of them the reserve for small calls may have given.
+    /// Bytes counted in [`PoolTotals::small`]; 0 if the reservation is large or unconditional.
     small: usize,
 }
 
-impl HeldBytes {
-    /// Returns how many they are.
+impl MemoryReservation {
+    /// Returns the number of reserved bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Takes more bytes for the same holder; the whole of it decides whether it is small.
-    pub fn grow(&mut self, more: usize) -> Result<(), TakeRefusal> {
+    /// Reserves `more` bytes in addition. Whether the reservation is small depends on its new size.
+    pub fn try_grow(&mut self, more: usize) -> Result<(), ReserveError> {
         if more == 0 {
             return Ok(());
         }
-        let held = self.bytes.saturating_add(more);
-        let limit = self.ledger.bounds.limit(self.purpose, held);
-        if held > limit {
-            return Err(TakeRefusal::Never);
+        let bytes = self.bytes.saturating_add(more);
+        let limit = self.pool.limits.limit(self.purpose, bytes);
+        if bytes > limit {
+            return Err(ReserveError::TooLarge);
         }
-        let small = if held <= SMALL_BYTES { held } else { 0 };
-        let mut sums = self.ledger.sums();
-        let small_sum = sums.small - self.small + small;
-        let is_in_reserve = small > 0 && small_sum <= self.ledger.bounds.reserve();
-        if sums.total.saturating_add(more) > limit && !is_in_reserve {
-            return Err(TakeRefusal::NotNow);
+        let small = if bytes <= SMALL_BYTES { bytes } else { 0 };
+        let mut totals = self.pool.totals();
+        let small_total = totals.small - self.small + small;
+        let is_in_reserve = small > 0 && small_total <= self.pool.limits.reserve();
+        if totals.total.saturating_add(more) > limit && !is_in_reserve {
+            return Err(ReserveError::Exhausted);
         }
-        sums.add(self.purpose, self.customer.as_ref(), more);
-        sums.small = small_sum;
-        drop(sums);
-        (self.bytes, self.small) = (held, small);
+        totals.add(self.purpose, self.customer.as_ref(), more);
+        totals.small = small_total;
+        drop(totals);
+        (self.bytes, self.small) = (bytes, small);
         Ok(())
     }
 
-    /// Sets how many bytes are held, whatever the bounds say.
-    pub fn set(&mut self, bytes: usize) {
+    /// Changes the size of the reservation regardless of the limits.
+    pub fn resize(&mut self, bytes: usize) {
         if bytes == self.bytes {
             return;
         }
-        let mut sums = self.ledger.sums();
-        sums.subtract(self.purpose, self.customer.as_ref(), self.bytes);
-        sums.add(self.purpose, self.customer.as_ref(), bytes);
-        sums.small -= self.small;
-        drop(sums);
+        let mut totals = self.pool.totals();
+        totals.subtract(self.purpose, self.customer.as_ref(), self.bytes);
+        totals.add(self.purpose, self.customer.as_ref(), bytes);
+        totals.small -= self.small;
+        drop(totals);
         (self.bytes, self.small) = (bytes, 0);
     }
 
-    /// Says for which customer the bytes are held, once that is known.
-    pub fn assign(&mut self, customer: &Name) {
+    /// Attributes the reservation to a customer, once the customer of a request is known.
+    pub fn set_customer(&mut self, customer: &Name) {
         if self.bytes > 0 {
-            let mut sums = self.ledger.sums();
-            sums.subtract(self.purpose, self.customer.as_ref(), self.bytes);
-            sums.add(self.purpose, Some(customer), self.bytes);
+            let mut totals = self.pool.totals();
+            totals.subtract(self.purpose, self.customer.as_ref(), self.bytes);
+            totals.add(self.purpose, Some(customer), self.bytes);
         }
         self.customer = Some(customer.clone());
     }
 }
 
-impl Drop for HeldBytes {
+impl Drop for MemoryReservation {
     fn drop(&mut self) {
-        self.set(0);
+        self.resize(0);
     }
 }
--- a/crates/trestlerack/src/process/resource_limits/mod.rs
+++ b/crates/trestlerack/src/process/resource_limits/mod.rs
@@ -1,6 +1,6 @@
-//! What a node holds for slow callers: how much, for what, and what gives way when it nears its bound.
+//! Limits on the memory and connections that slow clients can occupy, and load shedding near these limits.
 //!
-//! Memory and descriptors of a VM are bounded by its settings; see
+//! The limits follow from the memory and descriptors of the VM in the settings; see
 //! [docs/design/held-memory.md](../../../../../docs/design/held-memory.md).
 
 mod connections;
@@ -8,10 +8,12 @@
 mod memory;
 mod transfer_progress;
 
-pub use connections::{DescriptorBoard, DescriptorBounds, DescriptorKind, DescriptorSeat, IdleClient, longest_idle};
-pub use load_shedding::{ReaderView, SenderView, is_pressed, reader_to_cut, run_limit, sender_to_refuse};
+pub use connections::{
+    ConnectionCounter, ConnectionKind, ConnectionLimits, ConnectionPermit, IdleClient, longest_idle,
+};
+pub use load_shedding::{DownloadStatus, UploadStatus, download_to_close, is_near_limit, run_limit, upload_to_refuse};
 pub use memory::{
-    ByteLedger, CONNECTION_BYTES, HeldBounds, HeldBytes, HeldPurpose, LedgerView, REQUEST_BYTES, SMALL_BYTES,
-    STREAM_BYTES, TakeRefusal,
+    CONNECTION_BYTES, MemoryLimits, MemoryPool, MemoryPurpose, MemoryReservation, MemoryUsage, REQUEST_BYTES,
+    ReserveError, SMALL_BYTES, STREAM_BYTES,
 };
-pub use transfer_progress::{ReadPace, SendPace};
+pub use transfer_progress::{DownloadProgress, UploadProgress};
--- a/crates/trestlerack/src/process/resource_limits/transfer_progress.rs
+++ b/crates/trestlerack/src/process/resource_limits/transfer_progress.rs
@@ -1,90 +1,92 @@
-//! Least rates at which callers send and read.
+//! Minimum rates at which clients send request bodies and read responses.
 
 use crate::{Timestamp, time::millis};
 use std::time::Duration;
 
-/// Time in which a sender may be as slow as it likes: a lost packet is repeated within it.
-const FREE_TIME: Duration = Duration::from_secs(1);
+/// Initial time in which an upload may be arbitrarily slow; a lost packet is retransmitted within it.
+const UPLOAD_GRACE: Duration = Duration::from_secs(1);
 
-/// Least bytes per second of a sender after that; far below the narrowest links of callers.
-const SEND_RATE: u64 = 1_024;
+/// Minimum rate of an upload after [`UPLOAD_GRACE`], in bytes per second. It is far below the narrowest links
+/// of clients.
+const MIN_UPLOAD_RATE: u64 = 1_024;
 
-/// Longest pause of a sender. Lost packets are repeated after 0.2, 0.6 and 1.4 s.
-const SEND_PAUSE: Duration = Duration::from_secs(3);
+/// Maximum pause of an upload. Lost packets are retransmitted after 0.2, 0.6 and 1.4 s.
+const MAX_UPLOAD_PAUSE: Duration = Duration::from_secs(3);
 
-/// Longest time in which a reader takes nothing, so that its reply stays where it is.
-const READ_PAUSE: Duration = Duration::from_secs(5);
+/// Maximum time in which a client may read nothing of its response, which stays in memory meanwhile.
+const MAX_DOWNLOAD_PAUSE: Duration = Duration::from_secs(5);
 
-/// Least bytes per second of a reader that is behind for longer than that pause.
-const READ_RATE: u64 = 4_096;
+/// Minimum rate of a download whose writes have been blocked for longer than that pause, in bytes per second.
+const MIN_DOWNLOAD_RATE: u64 = 4_096;
 
-/// How a body comes in.
+/// Tracks whether the body of a request arrives fast enough.
 #[derive(Clone, Copy, Debug)]
-pub struct SendPace {
+pub struct UploadProgress {
     started: Timestamp,
     last: Timestamp,
     received: u64,
-    /// When the whole body has to be there: the route's timeout or the client's own deadline.
-    until: Timestamp,
+    /// Deadline of the whole body: the route's timeout or the client's own deadline.
+    deadline: Timestamp,
 }
 
-impl SendPace {
-    /// Starts with the head of the request.
+impl UploadProgress {
+    /// Starts when the head of the request has arrived.
     pub fn start(now: Timestamp, limit: Duration) -> Self {
-        Self { started: now, last: now, received: 0, until: now + limit }
+        Self { started: now, last: now, received: 0, deadline: now + limit }
     }
 
-    /// Notes bytes that came.
-    pub fn receive(&mut self, now: Timestamp, bytes: usize) {
+    /// Records received bytes.
+    pub fn record(&mut self, now: Timestamp, bytes: usize) {
         self.received = self.received.saturating_add(bytes as u64);
         self.last = now;
     }
 
-    /// Returns when the next bytes have to be there.
+    /// Returns when the next bytes have to arrive.
     pub fn due(&self) -> Timestamp {
-        let by_rate = self.started + FREE_TIME + Duration::from_millis(self.received.saturating_mul(1_000) / SEND_RATE);
-        by_rate.min(self.last + SEND_PAUSE).min(self.until)
+        let by_rate =
+            self.started + UPLOAD_GRACE + Duration::from_millis(self.received.saturating_mul(1_000) / MIN_UPLOAD_RATE);
+        by_rate.min(self.last + MAX_UPLOAD_PAUSE).min(self.deadline)
     }
 
-    /// Returns for how long the body has been coming.
+    /// Returns the time since the start of the upload.
     pub fn age(&self, now: Timestamp) -> Duration {
         now.since(self.started)
     }
 }
 
-/// How a client takes what is written to it, from when it first kept the writer waiting.
+/// Tracks whether a client reads its response fast enough, from the first write that had to wait for it.
 #[derive(Clone, Copy, Debug)]
-pub struct ReadPace {
+pub struct DownloadProgress {
     started: Timestamp,
     last: Timestamp,
-    taken: u64,
+    sent: u64,
 }
 
-impl ReadPace {
-    /// Starts when a write first has to wait.
+impl DownloadProgress {
+    /// Starts when a write has to wait for the client for the first time.
     pub fn start(now: Timestamp) -> Self {
-        Self { started: now, last: now, taken: 0 }
+        Self { started: now, last: now, sent: 0 }
     }
 
-    /// Notes bytes that were taken.
-    pub fn take(&mut self, now: Timestamp, bytes: usize) {
-        self.taken = self.taken.saturating_add(bytes as u64);
+    /// Records bytes that the connection has accepted.
+    pub fn record(&mut self, now: Timestamp, bytes: usize) {
+        self.sent = self.sent.saturating_add(bytes as u64);
         self.last = now;
     }
 
-    /// Returns how long the client has taken nothing.
+    /// Returns the time since the connection last accepted bytes.
     pub fn pause(&self, now: Timestamp) -> Duration {
         now.since(self.last)
     }
 
-    /// Returns when the connection is closed unless more is taken.
+    /// Returns when the connection is closed unless it accepts more bytes.
     pub fn due(&self) -> Timestamp {
-        let by_rate = Duration::from_millis(self.taken.saturating_mul(1_000) / READ_RATE);
-        let by_rate = self.started + READ_PAUSE + by_rate;
-        by_rate.min(self.last + READ_PAUSE)
+        let by_rate = Duration::from_millis(self.sent.saturating_mul(1_000) / MIN_DOWNLOAD_RATE);
+        let by_rate = self.started + MAX_DOWNLOAD_PAUSE + by_rate;
+        by_rate.min(self.last + MAX_DOWNLOAD_PAUSE)
     }
 
-    /// Returns the time left until then, a millisecond at least, so that a wait for it moves on.
+    /// Returns the time left until [`Self::due`], at least a millisecond, so that a timer always advances.
     pub fn left(&self, now: Timestamp) -> Duration {
         Duration::from_millis(millis(self.due().since(now)).max(1))
     }
--- a/crates/trestlerackd/src/entry/attempt.rs
+++ b/crates/trestlerackd/src/entry/attempt.rs
@@ -13,7 +13,7 @@
 use opentelemetry::trace::SpanKind;
 use std::sync::Arc;
 use std::time::Duration;
-use trestlerack::process::HeldBytes;
+use trestlerack::process::MemoryReservation;
 use trestlerack_platform::{self as platform, EngineRequest, ReplyHead};
 
 /// Longest answer that is read whole before it is passed on, in bytes.
@@ -31,7 +31,7 @@
     /// Body.
     pub body: Bytes,
     /// Count of the bytes of the body.
-    pub held: HeldBytes,
+    pub held: MemoryReservation,
 }
 
 /// The head of an answer whose body is still to come.
--- a/crates/trestlerackd/src/entry/front.rs
+++ b/crates/trestlerackd/src/entry/front.rs
@@ -14,7 +14,7 @@
 use opentelemetry::trace::SpanKind;
 use std::sync::Arc;
 use std::time::Duration;
-use trestlerack::process::{HeldBytes, HeldPurpose};
+use trestlerack::process::{MemoryPurpose, MemoryReservation};
 use trestlerack::request::{RequestContent, RequestFingerprint};
 use trestlerack::version::{CallerCredential, CallerVerdict, RouteKind, RoutingTable};
 use trestlerack::{Name, event};
@@ -58,7 +58,7 @@
     /// Body.
     pub body: Bytes,
     /// Count of the bytes of the body, which are given back with the request.
-    pub held: HeldBytes,
+    pub held: MemoryReservation,
 }
 
 impl ClientRequest {
@@ -75,7 +75,7 @@
     /// Drops the body, of which nothing more is needed.
     pub fn drop_body(&mut self) {
         self.body = Bytes::new();
-        self.held.set(0);
+        self.held.resize(0);
     }
 
     /// Returns the fingerprint of what the request asks for.
@@ -114,7 +114,7 @@
         head,
         caller: CallerVerdict::Unknown,
         body: Bytes::new(),
-        held: node.held.ledger.count(HeldPurpose::Bodies, 0),
+        held: node.held.ledger.reserve(MemoryPurpose::Bodies, 0),
     };
     if let Err(refusal) = take_body(node, &routing, &mut request, body).await {
         return refusal;
@@ -123,7 +123,7 @@
     let mut reply = match identify(node, &routing, &call, &mut request, &credential).await {
         Ok(()) => {
             if let Some(customer) = request.caller.customer() {
-                request.held.assign(&customer.name);
+                request.held.set_customer(&customer.name);
             }
             dispatch(node, call, request).await
         }
--- a/crates/trestlerackd/src/entry/held/answers.rs
+++ b/crates/trestlerackd/src/entry/held/answers.rs
@@ -9,7 +9,7 @@
 use std::fmt::Display;
 use std::sync::Arc;
 use std::time::Duration;
-use trestlerack::process::{HeldBytes, HeldPurpose, TakeRefusal};
+use trestlerack::process::{MemoryPurpose, MemoryReservation, ReserveError};
 
 /// Interval at which an answer that waits looks for room again.
 const ROOM_INTERVAL: Duration = Duration::from_millis(20);
@@ -22,8 +22,8 @@
     request: &str,
     mut body: Incoming,
     most: usize,
-) -> Option<(Bytes, HeldBytes)> {
-    let mut held = node.held.ledger.count(HeldPurpose::Answers, 0);
+) -> Option<(Bytes, MemoryReservation)> {
+    let mut held = node.held.ledger.reserve(MemoryPurpose::Answers, 0);
     let stated = body.size_hint().exact().map_or(0, |length| usize::try_from(length).unwrap_or(usize::MAX));
     if stated > most {
         return None;
@@ -44,16 +44,16 @@
 }
 
 /// Takes bytes for an answer, as soon as there is room; `None` if there never is.
-async fn wait_for_room(node: &EntryNode, request: &str, held: &mut HeldBytes, more: usize) -> Option<()> {
-    match held.grow(more) {
+async fn wait_for_room(node: &EntryNode, request: &str, held: &mut MemoryReservation, more: usize) -> Option<()> {
+    match held.try_grow(more) {
         Ok(()) => return Some(()),
-        Err(TakeRefusal::Never) => return None,
-        Err(TakeRefusal::NotNow) => tell_wait(node, request, more),
+        Err(ReserveError::TooLarge) => return None,
+        Err(ReserveError::Exhausted) => tell_wait(node, request, more),
     }
     // One answer at a time looks for room, so that hundreds that wait cost no more than one.
     let _turn = node.held.turn.lock().await;
-    while let Err(refusal) = held.grow(more) {
-        if refusal == TakeRefusal::Never {
+    while let Err(refusal) = held.try_grow(more) {
+        if refusal == ReserveError::TooLarge {
             return None;
         }
         node.held.cut_reader(node.now());
@@ -63,7 +63,7 @@
 }
 
 fn tell_wait(node: &EntryNode, request: &str, bytes: usize) {
-    let (held, bound) = (node.held.ledger.total(), node.held.ledger.bounds().total);
+    let (held, bound) = (node.held.ledger.total(), node.held.ledger.limits().total);
     let fields: [(&str, &dyn Display); 4] =
         [("request", &request), ("bytes", &bytes), ("held", &held), ("bound", &bound)];
     node.held.note(node.now(), HeldDecision::AnswerWaits, &fields);
--- a/crates/trestlerackd/src/entry/held/bodies.rs
+++ b/crates/trestlerackd/src/entry/held/bodies.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use tokio::sync::Notify;
 use trestlerack::Timestamp;
-use trestlerack::process::{SenderView, sender_to_refuse};
+use trestlerack::process::{UploadStatus, upload_to_refuse};
 
 /// A body that is being read.
 pub struct BodyWatch {
@@ -50,14 +50,14 @@
     /// Has the sender refused that holds most for its progress.
     pub fn relieve(&self, now: Timestamp) {
         let watches = self.watches.lock().unwrap();
-        let view = |(id, watch): (&u64, &Arc<BodyWatch>)| SenderView {
+        let view = |(id, watch): (&u64, &Arc<BodyWatch>)| UploadStatus {
             id: *id,
-            held: watch.held.load(Ordering::Relaxed),
+            reserved: watch.held.load(Ordering::Relaxed),
             received: watch.received.load(Ordering::Relaxed),
             age: now.since(watch.started),
         };
-        let views: Vec<SenderView> = watches.iter().map(view).collect();
-        if let Some(watch) = sender_to_refuse(&views).and_then(|id| watches.get(&id)) {
+        let views: Vec<UploadStatus> = watches.iter().map(view).collect();
+        if let Some(watch) = upload_to_refuse(&views).and_then(|id| watches.get(&id)) {
             watch.refused.notify_one();
         }
     }
--- a/crates/trestlerackd/src/entry/held/body_reader.rs
+++ b/crates/trestlerackd/src/entry/held/body_reader.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
-use trestlerack::process::{HeldBytes, HeldPurpose, SMALL_BYTES, SendPace, TakeRefusal};
+use trestlerack::process::{MemoryPurpose, MemoryReservation, ReserveError, SMALL_BYTES, UploadProgress};
 use trestlerack::{Name, Timestamp};
 
 /// Bytes by which a body without a length grows.
@@ -43,8 +43,8 @@
     desk: &'a HeldDesk,
     most: usize,
     bytes: BytesMut,
-    held: HeldBytes,
-    pace: SendPace,
+    held: MemoryReservation,
+    pace: UploadProgress,
     place: Option<BodyPlace<'a>>,
 }
 
@@ -55,14 +55,14 @@
     mut body: Incoming,
     most: usize,
     limit: Duration,
-) -> Result<(Bytes, HeldBytes), BodyRefusal> {
+) -> Result<(Bytes, MemoryReservation), BodyRefusal> {
     let desk = &*node.held;
-    let held = desk.ledger.count(HeldPurpose::Bodies, 0);
+    let held = desk.ledger.reserve(MemoryPurpose::Bodies, 0);
     if body.is_end_stream() {
         return Ok((Bytes::new(), held));
     }
     let now = node.now();
-    let pace = SendPace::start(now, limit);
+    let pace = UploadProgress::start(now, limit);
     let mut reader = BodyReader { desk, most, bytes: BytesMut::new(), held, pace, place: None };
     let stated = body.size_hint().exact().map(|length| usize::try_from(length).unwrap_or(usize::MAX));
     let outcome = match reader.begin(now, stated) {
@@ -91,11 +91,11 @@
     /// Takes `more` bytes and makes their place; pages of it that nothing was written to cost nothing.
     fn make_room(&mut self, now: Timestamp, more: usize) -> Result<(), BodyRefusal> {
         let length = self.held.bytes().saturating_add(more);
-        let taken = self.held.grow(more);
+        let taken = self.held.try_grow(more);
         self.relieve(now);
         taken.map_err(|refusal| match refusal {
-            TakeRefusal::Never => BodyRefusal::TooLarge,
-            TakeRefusal::NotNow => BodyRefusal::NoRoom,
+            ReserveError::TooLarge => BodyRefusal::TooLarge,
+            ReserveError::Exhausted => BodyRefusal::NoRoom,
         })?;
         self.bytes.reserve(length - self.bytes.len());
         if self.desk.is_bounded() && length > SMALL_BYTES {
@@ -125,7 +125,7 @@
                 self.make_room(now, GROWTH.max(data.len()))?;
             }
             self.bytes.extend_from_slice(&data);
-            self.pace.receive(now, data.len());
+            self.pace.record(now, data.len());
             if let Some(place) = &self.place {
                 place.watch.received.store(length, Ordering::Relaxed);
             }
@@ -169,7 +169,7 @@
         match refusal {
             BodyRefusal::NoRoom if received == 0 => {
                 let bytes = stated.unwrap_or(GROWTH);
-                let (held, bound) = (self.desk.ledger.total(), self.desk.ledger.bounds().total);
+                let (held, bound) = (self.desk.ledger.total(), self.desk.ledger.limits().total);
                 self.desk.note(
                     now,
                     HeldDecision::BodyRefused,
--- a/crates/trestlerackd/src/entry/held/links.rs
+++ b/crates/trestlerackd/src/entry/held/links.rs
@@ -7,8 +7,8 @@
 use tokio::sync::Notify;
 use trestlerack::Timestamp;
 use trestlerack::process::{
-    CONNECTION_BYTES, DescriptorKind, DescriptorSeat, HeldBytes, HeldPurpose, IdleClient, REQUEST_BYTES, ReaderView,
-    longest_idle, reader_to_cut,
+    CONNECTION_BYTES, ConnectionKind, ConnectionPermit, DownloadStatus, IdleClient, MemoryPurpose, MemoryReservation,
+    REQUEST_BYTES, download_to_close, longest_idle,
 };
 
 /// Connections beyond the bound that are told to come again; any more are closed.
@@ -28,7 +28,7 @@
     /// Bytes of its reply that are held.
     reply_bytes: AtomicUsize,
     /// Count of what the connection and its request cost.
-    held: Mutex<HeldBytes>,
+    held: Mutex<MemoryReservation>,
     /// Ends the connection once nothing is served on it.
     pub leave: Notify,
     /// Ends the connection at once.
@@ -40,13 +40,13 @@
     pub fn set_busy(&self) {
         self.is_used.store(true, Ordering::Relaxed);
         self.idle_since.store(NEVER, Ordering::Relaxed);
-        self.held.lock().unwrap().set(CONNECTION_BYTES + REQUEST_BYTES);
+        self.held.lock().unwrap().resize(CONNECTION_BYTES + REQUEST_BYTES);
     }
 
     /// Notes that nothing is served.
     pub fn set_idle(&self, now: Timestamp) {
         self.idle_since.store(now.0, Ordering::Relaxed);
-        self.held.lock().unwrap().set(CONNECTION_BYTES);
+        self.held.lock().unwrap().resize(CONNECTION_BYTES);
     }
 
     /// Notes since when the client takes nothing; `None` while it does.
@@ -70,10 +70,10 @@
         (since != NEVER).then_some(IdleClient { id: self.id, idle, is_used })
     }
 
-    fn as_reader(&self, now: Timestamp) -> Option<ReaderView> {
+    fn as_reader(&self, now: Timestamp) -> Option<DownloadStatus> {
         let since = self.waits_since.load(Ordering::Relaxed);
         let pause = now.since(Timestamp(since));
-        (since != NEVER).then(|| ReaderView { id: self.id, held: self.reply_bytes(), pause })
+        (since != NEVER).then(|| DownloadStatus { id: self.id, reserved: self.reply_bytes(), pause })
     }
 }
 
@@ -89,7 +89,7 @@
     desk: Arc<HeldDesk>,
     /// The connection.
     pub link: Arc<ClientLink>,
-    _seat: DescriptorSeat,
+    _seat: ConnectionPermit,
 }
 
 impl Drop for LinkSeat {
@@ -112,29 +112,31 @@
     /// Decides on a new connection of a client. Where there is no seat, the one that has been idle for
     /// longest is closed for it.
     pub fn admit(self: &Arc<Self>, now: Timestamp) -> Admission {
-        if let Some(seat) = self.descriptors.take(DescriptorKind::Clients) {
+        if let Some(seat) = self.descriptors.try_acquire(ConnectionKind::Clients) {
             return Admission::Serve(self.enter(now, seat));
         }
-        let open = self.descriptors.open(DescriptorKind::Clients);
+        let open = self.descriptors.open(ConnectionKind::Clients);
         let is_closed = self.close_idle(now);
         let why = if is_closed { "an idle one is closed for it" } else { "none is idle" };
-        let kind = DescriptorKind::Clients.as_str();
+        let kind = ConnectionKind::Clients.as_str();
         self.note(now, HeldDecision::ConnectionsFull, &[("kind", &kind), ("why", &why), ("open", &open)]);
         // The one that was closed frees its seat as soon as its task runs.
         let more = if is_closed { usize::MAX } else { TOLD_CONNECTIONS };
-        let Some(seat) = self.descriptors.take_beyond(DescriptorKind::Clients, more) else { return Admission::Close };
+        let Some(seat) = self.descriptors.try_acquire_beyond(ConnectionKind::Clients, more) else {
+            return Admission::Close;
+        };
         let seat = self.enter(now, seat);
         if is_closed { Admission::Serve(seat) } else { Admission::Refuse(seat) }
     }
 
-    fn enter(self: &Arc<Self>, now: Timestamp, seat: DescriptorSeat) -> LinkSeat {
+    fn enter(self: &Arc<Self>, now: Timestamp, seat: ConnectionPermit) -> LinkSeat {
         let link = Arc::new(ClientLink {
             id: self.links.next.fetch_add(1, Ordering::Relaxed),
             idle_since: AtomicU64::new(now.0),
             is_used: AtomicBool::new(false),
             waits_since: AtomicU64::new(NEVER),
             reply_bytes: AtomicUsize::new(0),
-            held: Mutex::new(self.ledger.count(HeldPurpose::Connections, CONNECTION_BYTES)),
+            held: Mutex::new(self.ledger.reserve(MemoryPurpose::Connections, CONNECTION_BYTES)),
             leave: Notify::new(),
             cut: Notify::new(),
         });
@@ -160,8 +162,8 @@
             return;
         }
         let links = self.links.links.lock().unwrap();
-        let readers: Vec<ReaderView> = links.values().filter_map(|link| link.as_reader(now)).collect();
-        let Some(link) = reader_to_cut(&readers).and_then(|id| links.get(&id)) else { return };
+        let readers: Vec<DownloadStatus> = links.values().filter_map(|link| link.as_reader(now)).collect();
+        let Some(link) = download_to_close(&readers).and_then(|id| links.get(&id)) else { return };
         let pause_ms = now.since(Timestamp(link.waits_since.load(Ordering::Relaxed))).as_millis();
         link.set_waiting(None);
         link.cut.notify_one();
--- a/crates/trestlerackd/src/entry/held/mod.rs
+++ b/crates/trestlerackd/src/entry/held/mod.rs
@@ -28,8 +28,8 @@
 use std::time::Duration;
 use trestlerack::event::LogEvent;
 use trestlerack::process::{
-    ByteLedger, CONNECTION_BYTES, DescriptorBoard, DescriptorBounds, DescriptorKind, EntrySettings, HeldBounds,
-    is_pressed, run_limit,
+    CONNECTION_BYTES, ConnectionCounter, ConnectionKind, ConnectionLimits, EntrySettings, MemoryLimits, MemoryPool,
+    is_near_limit, run_limit,
 };
 use trestlerack::{Timestamp, event};
 
@@ -84,9 +84,9 @@
 /// Owner of what is known of held bytes and open connections.
 pub struct HeldDesk {
     /// Held bytes.
-    pub ledger: ByteLedger,
+    pub ledger: MemoryPool,
     /// Open connections by kind.
-    pub descriptors: DescriptorBoard,
+    pub descriptors: ConnectionCounter,
     /// Clients' connections.
     pub links: LinkTable,
     bodies: BodyTable,
@@ -101,12 +101,12 @@
 impl HeldDesk {
     /// Builds a desk for a VM of these settings.
     pub fn new(settings: &EntrySettings) -> Self {
-        let bounds = HeldBounds::of_memory(settings.memory_mb);
+        let bounds = MemoryLimits::from_memory(settings.memory_mb);
         let clients = bounds.total / CONNECTION_PARTS / CONNECTION_BYTES;
-        let descriptors = DescriptorBounds::of_descriptors(settings.max_descriptors);
+        let descriptors = ConnectionLimits::from_descriptors(settings.max_descriptors);
         Self {
-            ledger: ByteLedger::new(bounds),
-            descriptors: DescriptorBoard::new(descriptors.at_most(DescriptorKind::Clients, clients)),
+            ledger: MemoryPool::new(bounds),
+            descriptors: ConnectionCounter::new(descriptors.capped(ConnectionKind::Clients, clients)),
             links: LinkTable::default(),
             bodies: BodyTable::default(),
             turn: tokio::sync::Mutex::default(),
@@ -118,17 +118,17 @@
 
     /// Returns whether the settings bound what is held.
     pub fn is_bounded(&self) -> bool {
-        self.ledger.bounds().is_bounded()
+        self.ledger.limits().is_bounded()
     }
 
     /// Returns whether what is held nears its bound.
     pub fn is_pressed(&self) -> bool {
-        is_pressed(self.ledger.total(), self.ledger.bounds().total)
+        is_near_limit(self.ledger.total(), self.ledger.limits().total)
     }
 
     /// Returns how many more runs of items may be started beside those that `running` counts.
     pub fn runs_left(&self, now: Timestamp, running: impl FnOnce() -> usize) -> usize {
-        let (held, bound) = (self.ledger.total(), self.ledger.bounds().total);
+        let (held, bound) = (self.ledger.total(), self.ledger.limits().total);
         let Some(limit) = run_limit(held, bound) else { return usize::MAX };
         let running = running();
         if running >= limit {
--- a/crates/trestlerackd/src/entry/held/page.rs
+++ b/crates/trestlerackd/src/entry/held/page.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 use std::fmt::Write;
 use trestlerack::Name;
-use trestlerack::process::DescriptorKind;
+use trestlerack::process::ConnectionKind;
 
 /// Customers that are listed, those that hold most.
 const MOST_CUSTOMERS: usize = 20;
@@ -27,8 +27,8 @@
 
 /// Lists what is held.
 pub fn memory_lines(desk: &HeldDesk) -> Vec<MemoryLine> {
-    let view = desk.ledger.view();
-    let total_bound = bound(desk.ledger.bounds().total);
+    let view = desk.ledger.usage();
+    let total_bound = bound(desk.ledger.limits().total);
     let mut lines =
         vec![MemoryLine { kind: "memory", name: "total".into(), used: view.total as u64, bound: total_bound }];
     lines.extend(view.by_purpose.iter().map(|(purpose, bytes)| MemoryLine {
@@ -43,11 +43,11 @@
         used: bytes as u64,
         bound: None,
     }));
-    lines.extend(DescriptorKind::ALL.map(|kind| MemoryLine {
+    lines.extend(ConnectionKind::ALL.map(|kind| MemoryLine {
         kind: "descriptors",
         name: kind.as_str().into(),
         used: desk.descriptors.open(kind) as u64,
-        bound: bound(desk.descriptors.bounds().of(kind)),
+        bound: bound(desk.descriptors.limits().of(kind)),
     }));
     lines.extend(HeldDecision::ALL.map(|decision| MemoryLine {
         kind: "decisions",
@@ -60,15 +60,15 @@
 
 /// Adds gauges and counters to a page of metrics.
 pub fn write_metrics(desk: &HeldDesk, page: &mut String) {
-    let view = desk.ledger.view();
+    let view = desk.ledger.usage();
     // Writing to a string cannot fail.
     for (purpose, bytes) in &view.by_purpose {
         let _ = writeln!(page, "trestlerack_entry_held_bytes{{purpose=\"{}\"}} {bytes}", purpose.as_str());
     }
-    if let Some(bound) = bound(desk.ledger.bounds().total) {
+    if let Some(bound) = bound(desk.ledger.limits().total) {
         let _ = writeln!(page, "trestlerack_entry_held_bound_bytes {bound}");
     }
-    for kind in DescriptorKind::ALL {
+    for kind in ConnectionKind::ALL {
         let open = desk.descriptors.open(kind);
         let _ = writeln!(page, "trestlerack_entry_descriptors{{kind=\"{}\"}} {open}", kind.as_str());
     }
--- a/crates/trestlerackd/src/entry/held/reply.rs
+++ b/crates/trestlerackd/src/entry/held/reply.rs
@@ -10,7 +10,7 @@
 use std::pin::Pin;
 use std::sync::{Arc, Mutex};
 use std::task::{Context, Poll};
-use trestlerack::process::{HeldBytes, HeldPurpose};
+use trestlerack::process::{MemoryPurpose, MemoryReservation};
 
 /// Most bytes that the connection is handed at once. It asks for more when it has written most of them,
 /// so that what it buffers itself stays small.
@@ -18,15 +18,15 @@
 
 /// Bytes of an answer that are counted already; travels with the reply.
 #[derive(Clone)]
-pub struct AnswerBytes(Arc<Mutex<Option<HeldBytes>>>);
+pub struct AnswerBytes(Arc<Mutex<Option<MemoryReservation>>>);
 
 impl AnswerBytes {
     /// Wraps the bytes of an answer.
-    pub fn new(held: HeldBytes) -> Self {
+    pub fn new(held: MemoryReservation) -> Self {
         Self(Arc::new(Mutex::new(Some(held))))
     }
 
-    fn take(&self) -> Option<HeldBytes> {
+    fn take(&self) -> Option<MemoryReservation> {
         self.0.lock().unwrap().take()
     }
 }
@@ -35,7 +35,7 @@
 pub struct LinkedBody {
     inner: ReplyBody,
     rest: Bytes,
-    held: Option<HeldBytes>,
+    held: Option<MemoryReservation>,
     node: Arc<EntryNode>,
     link: Arc<ClientLink>,
 }
@@ -46,8 +46,8 @@
         let counted = reply.extensions_mut().remove::<AnswerBytes>().and_then(|bytes| bytes.take());
         reply.map(|inner| {
             let length = inner.size_hint().exact().and_then(|length| usize::try_from(length).ok());
-            let held = counted.or_else(|| Some(node.held.ledger.count(HeldPurpose::Answers, length?)));
-            link.set_reply_bytes(held.as_ref().map_or(0, HeldBytes::bytes));
+            let held = counted.or_else(|| Some(node.held.ledger.reserve(MemoryPurpose::Answers, length?)));
+            link.set_reply_bytes(held.as_ref().map_or(0, MemoryReservation::bytes));
             Self { inner, rest: Bytes::new(), held, node: node.clone(), link: link.clone() }.boxed_unsync()
         })
     }
--- a/crates/trestlerackd/src/entry/held/watched_stream.rs
+++ b/crates/trestlerackd/src/entry/held/watched_stream.rs
@@ -10,14 +10,14 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
-use trestlerack::process::ReadPace;
+use trestlerack::process::DownloadProgress;
 
 /// A connection and how its client reads. A timer runs only while a write waits.
 pub struct WatchedStream {
     stream: TcpStream,
     node: Arc<EntryNode>,
     link: Arc<ClientLink>,
-    pace: Option<ReadPace>,
+    pace: Option<DownloadProgress>,
     timer: Option<Pin<Box<dyn Future<Output = ()> + Send>>>,
 }
 
@@ -41,14 +41,14 @@
 
     fn wrote(&mut self, bytes: usize) {
         let Some(pace) = &mut self.pace else { return };
-        pace.take(self.node.now(), bytes);
+        pace.record(self.node.now(), bytes);
         self.timer = None;
         self.link.set_waiting(None);
     }
 
     fn wait(&mut self, context: &mut Context<'_>) -> Poll<Result<usize>> {
         let now = self.node.now();
-        let pace = *self.pace.get_or_insert_with(|| ReadPace::start(now));
+        let pace = *self.pace.get_or_insert_with(|| DownloadProgress::start(now));
         if self.timer.is_none() {
             self.link.set_waiting(Some(now));
         }
--- a/crates/trestlerackd/src/entry/job_accept.rs
+++ b/crates/trestlerackd/src/entry/job_accept.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use trestlerack::border::StoreError;
-use trestlerack::process::{HeldPurpose, NodeRow, OwnerCandidate, choose_job_owner};
+use trestlerack::process::{MemoryPurpose, NodeRow, OwnerCandidate, choose_job_owner};
 use trestlerack::request::{JobHead, JobSpec};
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall, StoreReply};
 use trestlerack::version::RequestRoute;
@@ -83,9 +83,9 @@
         return known_job(&view.head, view.version, spec, customer);
     }
     let content = tables::encode(&**spec);
-    let mut held = node.held.ledger.count(HeldPurpose::Texts, spec.bytes() + content.len());
+    let mut held = node.held.ledger.reserve(MemoryPurpose::Texts, spec.bytes() + content.len());
     if let Some(customer) = customer {
-        held.assign(customer);
+        held.set_customer(customer);
     }
     let in_rows = content.len() <= ROWS_BYTES;
     if !in_rows {
--- a/crates/trestlerackd/src/entry/job_driver.rs
+++ b/crates/trestlerackd/src/entry/job_driver.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
-use trestlerack::process::{HeldBytes, HeldPurpose, ServerNeed, TokenNeed};
+use trestlerack::process::{MemoryPurpose, MemoryReservation, ServerNeed, TokenNeed};
 use trestlerack::request::{
     JobHead, JobItem, JobLedger, JobSpec, LedgerSettings, RequestContent, RequestFingerprint, RunEnd, RunLane,
 };
@@ -79,14 +79,14 @@
     /// Bytes of its specification.
     spec_bytes: usize,
     /// Count of the bytes of its specification and its texts.
-    memory: Mutex<HeldBytes>,
+    memory: Mutex<MemoryReservation>,
     mode: AtomicU8,
     /// Whether `ledger` reflects the stored state of the job, which is read after the driver is created.
     is_ledger_loaded: AtomicBool,
 }
 
 impl JobDriver {
-    fn new(spec: Arc<JobSpec>, head: &JobHead, ledger: JobLedger, memory: HeldBytes) -> Self {
+    fn new(spec: Arc<JobSpec>, head: &JobHead, ledger: JobLedger, memory: MemoryReservation) -> Self {
         let customer = head.customer.clone();
         let fingerprint = |item: &JobItem| {
             let customer = customer.as_deref();
@@ -131,7 +131,7 @@
     /// Counts what the job holds now.
     fn count_memory(&self) {
         let texts = self.ledger.lock().unwrap().text_bytes();
-        self.memory.lock().unwrap().set(self.spec_bytes + texts);
+        self.memory.lock().unwrap().resize(self.spec_bytes + texts);
     }
 
     /// Returns whether the job is to be brought forward.
@@ -223,9 +223,9 @@
     let node = node.clone();
     let ledger = JobLedger::new(spec.clone(), LedgerSettings::default(), Vec::new(), HashMap::new());
     // What was accepted is kept in any case, and counted so that others make room for it.
-    let mut memory = node.held.ledger.count(HeldPurpose::Texts, spec.bytes());
+    let mut memory = node.held.ledger.reserve(MemoryPurpose::Texts, spec.bytes());
     if let Some(customer) = &head.customer {
-        memory.assign(customer);
+        memory.set_customer(customer);
     }
     let driver = Arc::new(JobDriver::new(spec.clone(), &head, ledger, memory));
     node.drivers.lock().unwrap().insert(spec.id.clone(), driver.clone());
--- a/crates/trestlerackd/src/entry/peers.rs
+++ b/crates/trestlerackd/src/entry/peers.rs
@@ -21,7 +21,7 @@
 use trestlerack::Name;
 use trestlerack::border::{Clock, StoreError};
 use trestlerack::process::{
-    DescriptorKind, DescriptorSeat, HeldPurpose, NodeNews, NodeRow, NodeRows, RelayChoice, StrikeNote, UsageNote,
+    ConnectionKind, ConnectionPermit, MemoryPurpose, NodeNews, NodeRow, NodeRows, RelayChoice, StrikeNote, UsageNote,
     UsageSender,
 };
 use trestlerack::request::RequestFingerprint;
@@ -301,9 +301,9 @@
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
         // A peer whose connection is closed asks another one.
-        let Some(seat) = node.held.descriptors.take(DescriptorKind::Peers) else {
-            let (kind, why) = (DescriptorKind::Peers.as_str(), "the part of the peers is used up");
-            let open = node.held.descriptors.open(DescriptorKind::Peers);
+        let Some(seat) = node.held.descriptors.try_acquire(ConnectionKind::Peers) else {
+            let (kind, why) = (ConnectionKind::Peers.as_str(), "the part of the peers is used up");
+            let open = node.held.descriptors.open(ConnectionKind::Peers);
             let fields: [(&str, &dyn std::fmt::Display); 3] = [("kind", &kind), ("why", &why), ("open", &open)];
             node.held.note(node.now(), HeldDecision::ConnectionsFull, &fields);
             continue;
@@ -312,7 +312,7 @@
     }
 }
 
-async fn serve_peer(node: Arc<EntryNode>, _seat: DescriptorSeat, stream: TcpStream) {
+async fn serve_peer(node: Arc<EntryNode>, _seat: ConnectionPermit, stream: TcpStream) {
     super::pool::prepare(&stream);
     let service = hyper::service::service_fn(move |request: Request<Incoming>| {
         let node = node.clone();
@@ -336,7 +336,7 @@
 
 async fn answer(node: &Arc<EntryNode>, request: Request<Incoming>) -> Option<Bytes> {
     let body = Limited::new(request.into_body(), MAX_MESSAGE).collect().await.ok()?.to_bytes();
-    let _held = node.held.ledger.count(HeldPurpose::Peers, body.len());
+    let _held = node.held.ledger.reserve(MemoryPurpose::Peers, body.len());
     let call: PeerCall = ciborium::from_reader(&body[..]).ok()?;
     let reply = match call {
         PeerCall::Relay(call) => {
--- a/crates/trestlerackd/src/entry/pool.rs
+++ b/crates/trestlerackd/src/entry/pool.rs
@@ -18,7 +18,7 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 use trestlerack::Name;
-use trestlerack::process::{DescriptorBoard, DescriptorKind, DescriptorSeat};
+use trestlerack::process::{ConnectionCounter, ConnectionKind, ConnectionPermit};
 
 /// Time to open a connection. Links take a few milliseconds; a lost first packet is repeated after
 /// a second, and another server is tried before that.
@@ -107,7 +107,7 @@
 }
 
 struct OpenConnection {
-    _seat: DescriptorSeat,
+    _seat: ConnectionPermit,
     sender: SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
 }
@@ -122,7 +122,7 @@
 pub struct ConnectionPool {
     idle: Mutex<HashMap<Name, Vec<IdleConnection>>>,
     opened: AtomicU64,
-    descriptors: DescriptorBoard,
+    descriptors: ConnectionCounter,
     /// Address of the store, whose connections have descriptors of their own.
     store: Name,
 }
@@ -135,15 +135,15 @@
 
 impl ConnectionPool {
     /// Builds a pool without connections.
-    pub fn new(descriptors: DescriptorBoard, store: Name) -> Self {
+    pub fn new(descriptors: ConnectionCounter, store: Name) -> Self {
         Self { idle: Mutex::default(), opened: AtomicU64::new(0), descriptors, store }
     }
 
     /// Takes the descriptor of a connection to an address. Where there is none, an idle connection to
     /// the address that has most of them is closed for it.
-    fn take_seat(&self, address: &Name) -> Option<DescriptorSeat> {
-        let kind = if *address == self.store { DescriptorKind::Store } else { DescriptorKind::Servers };
-        if let Some(seat) = self.descriptors.take(kind) {
+    fn take_seat(&self, address: &Name) -> Option<ConnectionPermit> {
+        let kind = if *address == self.store { ConnectionKind::Store } else { ConnectionKind::Servers };
+        if let Some(seat) = self.descriptors.try_acquire(kind) {
             return Some(seat);
         }
         let mut idle = self.idle.lock().unwrap();
@@ -152,7 +152,7 @@
         let most = idle.iter_mut().filter(is_of_kind).max_by_key(|(_, connections)| connections.len());
         drop(most.map(|(_, connections)| connections.pop()));
         drop(idle);
-        self.descriptors.take(kind)
+        self.descriptors.try_acquire(kind)
     }
 
     /// Returns how many connections were opened.
--- a/crates/trestlerackd/src/entry/streams.rs
+++ b/crates/trestlerackd/src/entry/streams.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use trestlerack::Timestamp;
-use trestlerack::process::{HeldBytes, HeldPurpose, STREAM_BYTES};
+use trestlerack::process::{MemoryPurpose, MemoryReservation, STREAM_BYTES};
 use trestlerack::version::RequestRoute;
 use trestlerack_platform::EventDecoder;
 
@@ -34,7 +34,7 @@
     decoder: EventDecoder,
     last_event: Option<u64>,
     /// What the stream costs; its events are read only as the client reads them.
-    _held: HeldBytes,
+    _held: MemoryReservation,
 }
 
 /// Serves a request for a stream: the reply has the head of the first server that answers.
@@ -46,7 +46,7 @@
     mut trail: RequestTrail,
 ) -> Response<ReplyBody> {
     let resume_after = request.head.resume_after;
-    let Ok(held) = node.held.ledger.take(HeldPurpose::Streams, STREAM_BYTES) else {
+    let Ok(held) = node.held.ledger.try_reserve(MemoryPurpose::Streams, STREAM_BYTES) else {
         let reply = plain::failure_reply(&request, &Shortfall::NotRun, true);
         trail.answered(reply.status());
         return reply;
