--- a/crates/trestlerack/src/process/admission/served_fractions.rs
+++ b/crates/trestlerack/src/process/admission/served_fractions.rs
@@ -1,54 +1,54 @@
-//! Which part of its calls each rank was served of late.
+//! The fraction of calls of each priority class that was recently served.
 
 use super::queue::CallKind;
 use crate::Timestamp;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time after which counts weigh half, so that they follow a change of load within seconds.
+/// Interval at which counts are halved, so that they follow a change of load within seconds.
 const HALF_LIFE: Duration = Duration::from_secs(1);
 
-/// Calls that compete alike: those of one priority and kind. The least goes first.
-pub type RankClass = (u8, CallKind);
+/// Calls of the same priority and kind. The smallest class is the most urgent.
+pub type PriorityClass = (u8, CallKind);
 
-/// What one class asked for and was given.
+/// Calls of a class that arrived and that were served.
 #[derive(Clone, Copy, Debug, Default)]
 struct ClassCounts {
-    asked: f64,
+    arrived: f64,
     served: f64,
 }
 
 impl ClassCounts {
-    fn part(&self) -> f64 {
-        if self.asked > 0.0 { self.served / self.asked } else { 1.0 }
+    fn fraction(&self) -> f64 {
+        if self.arrived > 0.0 { self.served / self.arrived } else { 1.0 }
     }
 }
 
-/// Counts by class, of which older calls weigh less.
+/// Counts of arrived and served calls by class, with exponential decay.
 #[derive(Clone, Debug, Default)]
-pub struct RankParts {
-    classes: BTreeMap<RankClass, ClassCounts>,
+pub struct ServedFractions {
+    classes: BTreeMap<PriorityClass, ClassCounts>,
     halved_at: Timestamp,
 }
 
-impl RankParts {
-    /// Records that a call came.
-    pub fn asked(&mut self, now: Timestamp, class: RankClass) {
+impl ServedFractions {
+    /// Records that a call arrived.
+    pub fn record_arrival(&mut self, now: Timestamp, class: PriorityClass) {
         self.halve(now);
-        self.classes.entry(class).or_default().asked += 1.0;
+        self.classes.entry(class).or_default().arrived += 1.0;
     }
 
-    /// Records that a call got its place.
-    pub fn served(&mut self, class: RankClass) {
+    /// Records that a call was admitted.
+    pub fn record_served(&mut self, class: PriorityClass) {
         self.classes.entry(class).or_default().served += 1.0;
     }
 
-    /// Returns whether a class is served less than `part` of what the best served of the more urgent ones
-    /// is, and less than any of them.
-    pub fn is_behind(&self, class: RankClass, part: f64) -> bool {
-        let Some(own) = self.classes.get(&class).map(ClassCounts::part) else { return false };
-        let more_urgent = || self.classes.range(..class).map(|(_, counts)| counts.part());
-        more_urgent().all(|other| own < other) && more_urgent().any(|other| own < part * other)
+    /// Returns whether a class is served less than all more urgent ones, and less than `fraction` of what the
+    /// best served of these is.
+    pub fn is_underserved(&self, class: PriorityClass, fraction: f64) -> bool {
+        let Some(own) = self.classes.get(&class).map(ClassCounts::fraction) else { return false };
+        let more_urgent = || self.classes.range(..class).map(|(_, counts)| counts.fraction());
+        more_urgent().all(|other| own < other) && more_urgent().any(|other| own < fraction * other)
     }
 
     fn halve(&mut self, now: Timestamp) {
@@ -58,9 +58,9 @@
         }
         self.halved_at = now;
         for counts in self.classes.values_mut() {
-            counts.asked /= 2.0;
+            counts.arrived /= 2.0;
             counts.served /= 2.0;
         }
-        self.classes.retain(|_, counts| counts.asked >= NEGLIGIBLE);
+        self.classes.retain(|_, counts| counts.arrived >= NEGLIGIBLE);
     }
 }
--- a/crates/trestlerack/src/process/event_pace.rs
+++ b/crates/trestlerack/src/process/event_pace.rs
@@ -1,6 +1,6 @@
 //! The pace at which an engine makes events, as its caller sees it.
 
-use super::SuspensionGauge;
+use super::SuspensionDetector;
 use std::time::Duration;
 
 /// Time after a suspension of the caller's VM in which events arrive that were held up meanwhile: they
@@ -11,7 +11,7 @@
 /// The time between events of one run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EventPace {
-    gauge: SuspensionGauge,
+    gauge: SuspensionDetector,
     last: Option<Duration>,
     settled_from: Duration,
 }
@@ -30,7 +30,7 @@
     /// prompt is read before them; nor do those after which the VM was suspended, and those that
     /// arrive just afterwards.
     pub fn arrived(&mut self, since_boot: Duration, monotonic: Duration, count: usize) -> Option<PaceSample> {
-        if self.gauge.read(since_boot, monotonic).is_some() {
+        if self.gauge.update(since_boot, monotonic).is_some() {
             self.settled_from = since_boot + SETTLE_TIME;
         }
         let is_settled = since_boot >= self.settled_from;
--- a/crates/trestlerack/src/process/hedging.rs
+++ b/crates/trestlerack/src/process/hedging.rs
@@ -1,6 +1,6 @@
-//! When a second server is asked beside the first for a request that may be repeated.
+//! When a request that may be repeated is also sent to a second server (hedging).
 //!
-//! Only services whose servers are compared get second attempts this early; see
+//! Only services whose servers are compared hedge before the first attempt fails; see
 //! [docs/design/uneven-load.md](../../../../docs/design/uneven-load.md#parts).
 
 use super::placement::ServerBoard;
@@ -8,41 +8,42 @@
 use crate::Timestamp;
 use std::time::Duration;
 
-/// Share of the target latency within which a node must have the answer; the rest is the way to the
+/// Fraction of the target latency within which a node must have the response. The rest is for the way to the
 /// client.
-const ANSWERED_SHARE: f64 = 0.9;
+const RESPONSE_FRACTION: f64 = 0.9;
 
-/// Median times that the second server needs, with the choice and the connection.
-const SECOND_WORK: f64 = 1.5;
+/// Time that the second attempt needs including selection of a server and connection, in median latencies.
+const SECOND_ATTEMPT_MEDIANS: f64 = 1.5;
 
-/// Share of the target latency at which the second server is asked while no time is known.
-const UNKNOWN_SHARE: f64 = 0.5;
+/// Fraction of the target latency after which the second server is used while no latency is known.
+const UNKNOWN_LATENCY_FRACTION: f64 = 0.5;
 
 impl ServerBoard {
-    /// Returns how long after the first server a second one is asked: so late that the second still answers
-    /// within the target latency, but never before half of the answers are there. Where no target is
-    /// stated, what few answers take longer than. `None` where the servers are not compared, or no
-    /// target is stated and no time is known yet.
-    pub fn second_attempt_after(&self, service: &str, kind: &str, target: Duration) -> Option<Duration> {
+    /// Returns the delay between the first attempt and a hedge.
+    ///
+    /// The hedge starts so late that it still completes within the target latency, but never before the median
+    /// latency. Without a target latency, the delay is the 95th percentile of the latency. Returns `None` if the
+    /// servers are not compared, or if there is neither a target nor a known latency.
+    pub fn hedge_delay(&self, service: &str, kind: &str, target: Duration) -> Option<Duration> {
         if !self.compares_servers(service) {
             return None;
         }
         if target.is_zero() {
             return self.high_time(kind);
         }
-        let Some(median) = self.median_time(kind) else { return Some(target.mul_f64(UNKNOWN_SHARE)) };
-        let latest = target.mul_f64(ANSWERED_SHARE).saturating_sub(median.mul_f64(SECOND_WORK));
+        let Some(median) = self.median_time(kind) else { return Some(target.mul_f64(UNKNOWN_LATENCY_FRACTION)) };
+        let latest = target.mul_f64(RESPONSE_FRACTION).saturating_sub(median.mul_f64(SECOND_ATTEMPT_MEDIANS));
         Some(latest.max(median))
     }
 
-    /// Returns whether a call to a server is a trial, since that was set aside. A second attempt beside a
-    /// trial is outside the budget: trials are few, and their callers are not to pay for them.
+    /// Returns whether a call to a server is a trial, because the server was set aside before. Hedges of trials
+    /// are not charged to the budget: trials are rare, and their callers should not suffer from them.
     pub fn is_trial(&self, now: Timestamp, instance: &str) -> bool {
         self.is_compared(instance) && self.standing(now, instance) != ServerStanding::Well
     }
 
-    /// Returns whether a service has a free place for a second attempt.
-    pub fn has_room(&self, now: Timestamp, service: &str) -> bool {
-        self.wait_estimate(now, service).free > 0
+    /// Returns whether a service has a free slot for a second attempt.
+    pub fn has_free_slot(&self, now: Timestamp, service: &str) -> bool {
+        self.wait_estimate(now, service).free_slots > 0
     }
 }
--- a/crates/trestlerack/src/process/limiter.rs
+++ b/crates/trestlerack/src/process/limiter.rs
@@ -1,10 +1,10 @@
-//! Token buckets: per-user rate limits and retry budgets.
+//! Per-user rate limits, based on token buckets, and retry budgets.
 
 use crate::{Name, Timestamp};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// A bucket that fills at a rate and never holds more than its burst.
+/// A token bucket. Its owner passes the fill rate and the burst, which may change over time.
 #[derive(Clone, Copy, Debug)]
 struct TokenBucket {
     tokens: f64,
@@ -23,14 +23,14 @@
     }
 }
 
-/// Shortest wait that is named, so that rounding never tells a caller to return at once.
-const SHORTEST_WAIT: Duration = Duration::from_millis(1);
+/// Minimum wait that is reported, so that rounding never tells a caller to retry immediately.
+const MIN_WAIT: Duration = Duration::from_millis(1);
 
 /// Limits the calls of each user on this node to its share of the user's limit.
 ///
-/// The share is the limit over the number of live nodes, because the platform's balancer spreads
-/// calls evenly. The sum over all nodes therefore stays under the limit without any message; the
-/// ways that were weighed are in [docs/DESIGN.md](../../../../docs/DESIGN.md#rate-limits).
+/// The share is the limit divided by the number of live nodes, because the platform's load balancer
+/// distributes calls evenly. The sum over all nodes therefore stays within the limit without any
+/// messages between nodes; the alternatives are compared in [docs/DESIGN.md](../../../../docs/DESIGN.md#rate-limits).
 #[derive(Clone, Debug, Default)]
 pub struct UserLimiter {
     buckets: HashMap<Name, TokenBucket>,
@@ -39,7 +39,7 @@
 impl UserLimiter {
     /// Admits a call at `now`, or returns how long to wait.
     ///
-    /// `limit` is in calls per second over all `nodes` together.
+    /// `limit` is in calls per second for all `nodes` together.
     pub fn admit(&mut self, now: Timestamp, user: &Name, limit: u32, nodes: usize) -> Result<(), Duration> {
         let share = f64::from(limit) / nodes.max(1) as f64;
         let burst = share.max(1.0);
@@ -47,17 +47,17 @@
         bucket.fill(now, share, burst);
         if bucket.tokens < 1.0 {
             let wait = Duration::from_secs_f64((1.0 - bucket.tokens) / share);
-            return Err(wait.max(SHORTEST_WAIT));
+            return Err(wait.max(MIN_WAIT));
         }
         bucket.tokens -= 1.0;
         Ok(())
     }
 }
 
-/// Bounds retries and hedges to a share of first attempts, per user and service.
+/// Limits retries and hedges to a fraction of the first attempts, per user and service.
 ///
-/// A failing service then sees at most `ratio` more calls than it would without retries, plus a
-/// small reserve that lets a quiet caller retry at all.
+/// A failing service then receives at most `ratio` more calls than it would without retries, plus a
+/// small reserve that allows users with few calls to retry at all.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     ratio: f64,
@@ -66,7 +66,8 @@
 }
 
 impl RetryBudget {
-    /// Builds a budget that earns `ratio` of a retry per first attempt and starts with `reserve`.
+    /// Creates a budget that earns `ratio` retries per first attempt, and holds at most `reserve` retries,
+    /// with which it starts.
     pub fn new(ratio: f64, reserve: f64) -> Self {
         Self { ratio, reserve, balances: HashMap::new() }
     }
@@ -78,7 +79,7 @@
         *balance = (*balance + ratio).min(limit);
     }
 
-    /// Takes one retry or hedge out of the budget, or returns `false` if it is used up.
+    /// Takes a retry or hedge from the budget, or returns `false` if it is exhausted.
     #[must_use]
     pub fn spend(&mut self, user: &Name, service: &Name) -> bool {
         let balance = self.balance(user, service);
--- a/crates/trestlerack/src/process/mod.rs
+++ b/crates/trestlerack/src/process/mod.rs
@@ -50,8 +50,8 @@
 mod wait_estimate;
 
 pub use admission::{
-    AdmissionQueue, AttemptReason, CallAdmission, CallFate, CallKind, CallNumber, CallRefusal, RefusalReason,
-    ReturnTimes, RoomSettings, SecondAttempts, ServiceView, WaitingCall,
+    AdmissionDecision, AdmissionQueue, AdmissionSettings, AttemptReason, CallKind, CallRefusal, QueuedCallId,
+    RefusalReason, RetrySchedule, SecondAttemptBudget, ServiceLoad, WaitOutcome, WaitingCall,
 };
 pub use answer_time::AnswerTimes;
 pub use broadcast::BroadcastQueue;
@@ -61,7 +61,7 @@
 pub use end_news::{EndNews, EndNewsSettings};
 pub use engine_fleet::{EngineFleet, FleetRow, FleetSettings, ScalingTerms, ZoneEngines, ZoneOrder};
 pub use engine_memory::{EngineMemory, SharedPrompt, TokenNeed};
-pub use engine_priority::{CallHistory, ServiceRanks, engine_rank, shows_preemption};
+pub use engine_priority::{CallHistory, ServicePriorities, engine_priority, shows_preemption};
 pub use entry_settings::{ENTRY_FIELDS, EntrySettings, parse_entry_settings};
 pub use event_pace::{EventPace, PaceSample};
 pub use feed_log::{FeedLog, FeedPlace};
@@ -86,8 +86,8 @@
     ReserveError, SMALL_BYTES, STREAM_BYTES, UploadProgress, UploadStatus, download_to_close, is_near_limit,
     longest_idle, run_limit, upload_to_refuse,
 };
-pub use run_move::{LAST_MOVE_SLOWNESS, MOVE_SLOWNESS, RunMove};
-pub use run_timeouts::RunLimits;
+pub use run_move::{FINAL_MOVE_SLOWNESS, MOVE_SLOWNESS, RunMove};
+pub use run_timeouts::RunTimeouts;
 pub use server_belief::{ChoiceBasis, ServerBelief};
 pub use server_lines::{ServerLine, ToldLine};
 pub use server_notes::server_gossip;
@@ -98,19 +98,19 @@
     fair_shares,
 };
 pub use spool::{SampleSpool, SpoolSettings};
-pub use stable_wall_clock::SteadyWall;
+pub use stable_wall_clock::StableWallClock;
 pub use standing::{ServerFigures, ServerStanding};
 pub use step::{
     GroupRow, GroupSpec, SealDecision, SealedGroup, StepRow, StepState, StepSubmission, decide_seal, group_key,
     group_prefix, open_key, step_key,
 };
 pub use step_store::{MadeGroup, ManifestCache, Opened, Recorded, StepLook, StepStore};
-pub use store_pacing::{failure_pause, rate_pause, watch_pause};
+pub use store_pacing::{failure_backoff, rate_limit_backoff, watch_interval};
 pub use suspects::{
     GossipSettings, NEWS_LAG, StrikeNote, SuspectBook, SuspectLine, SuspectRun, SuspectSettings, SuspectStanding,
     TrialBook, server_start,
 };
-pub use suspension::SuspensionGauge;
+pub use suspension::SuspensionDetector;
 pub use usage::{
     CustomerCounts, UsageCounter, UsageDesk, UsageNote, UsageReport, UsageSender, UsageSettings, WindowNotes,
 };
--- a/crates/trestlerack/tests/admission_load.rs
+++ b/crates/trestlerack/tests/admission_load.rs
@@ -1,188 +1,193 @@
-//! Calls for more than the room of a service, each second of some, as its queue orders them.
+//! Simulated nodes and servers with more calls than the capacity of the service, over several seconds.
 
 #[path = "support/admission.rs"]
 mod admission;
 
-use admission::{BusyServers, OBJECTIVE, call_of};
+use admission::{SimulatedServers, TARGET_LATENCY, client_call};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use trestlerack::Timestamp;
 use trestlerack::process::{
-    AdmissionQueue, CallAdmission, CallFate, CallNumber, RoomSettings, ServiceView, WaitEstimate, WaitingCall,
+    AdmissionDecision, AdmissionQueue, AdmissionSettings, QueuedCallId, ServiceLoad, WaitEstimate, WaitOutcome,
+    WaitingCall,
 };
 
-/// Places of the service: 30, each for 25 ms, so that it serves 1,200 calls a second.
-const PLACES: usize = 30;
-const WORK: Duration = Duration::from_millis(25);
+/// The service has 30 slots with a service time of 25 ms, so its capacity is 1,200 calls per second.
+const SLOTS: usize = 30;
+const SERVICE_TIME: Duration = Duration::from_millis(25);
 
-/// Time for which a node believes a load that was stated.
-const BELIEVED: Duration = Duration::from_millis(300);
+/// Time for which a node uses a load report.
+const LOAD_REPORT_TTL: Duration = Duration::from_millis(300);
 
-/// Length of the load, in milliseconds; the first second fills the service.
+/// Length of a simulation in milliseconds. During the first second the service fills up, so its utilization and
+/// its completed calls are not counted.
 const LENGTH_MS: u64 = 4_000;
-const FILL_MS: u64 = 1_000;
+const WARMUP_MS: u64 = 1_000;
 
-/// What callers got.
+/// What callers experienced.
 #[derive(Default)]
 struct Outcome {
-    /// Calls that came, went to a server and were answered in time, by priority.
-    ranks: BTreeMap<u8, [u32; 3]>,
-    /// Times from a call to its refusal.
-    refused_after: Vec<Duration>,
-    busy_part: f64,
+    /// Numbers of calls that arrived, were admitted, and completed in time, by priority.
+    by_priority: BTreeMap<u8, [u32; 3]>,
+    /// Times from the arrival of a call to its refusal.
+    refusal_times: Vec<Duration>,
+    /// Utilization of the slots.
+    busy_fraction: f64,
 }
 
 impl Outcome {
-    fn good(&self) -> u32 {
-        self.ranks.values().map(|counts| counts[2]).sum()
+    fn completed_in_time(&self) -> u32 {
+        self.by_priority.values().map(|counts| counts[2]).sum()
     }
 
-    fn served_part(&self, priority: u8) -> f64 {
-        let [came, went, _] = self.ranks[&priority];
-        f64::from(went) / f64::from(came)
+    fn admitted_fraction(&self, priority: u8) -> f64 {
+        let [arrived, admitted, _] = self.by_priority[&priority];
+        f64::from(admitted) / f64::from(arrived)
     }
 
     fn refusal_p99(&mut self) -> Duration {
-        self.refused_after.sort();
-        self.refused_after[self.refused_after.len() * 99 / 100]
+        self.refusal_times.sort();
+        self.refusal_times[self.refusal_times.len() * 99 / 100]
     }
 }
 
-/// What one node has.
+/// A node with its queue, and its view of the servers.
 struct Node {
     queue: AdmissionQueue,
-    waiting: BTreeMap<CallNumber, WaitingCall>,
+    waiting: BTreeMap<QueuedCallId, WaitingCall>,
     in_flight: u32,
-    /// Calls of others, as the last answer stated, and when it did.
+    /// Calls of other nodes at the servers according to the last load report.
     others: u32,
-    seen_at: Timestamp,
+    /// When that report was received.
+    reported_at: Timestamp,
 }
 
 impl Node {
     fn new() -> Self {
-        let queue = AdmissionQueue::new(RoomSettings::default());
-        Self { queue, waiting: BTreeMap::new(), in_flight: 0, others: 0, seen_at: Timestamp(0) }
+        let queue = AdmissionQueue::new(AdmissionSettings::default());
+        Self { queue, waiting: BTreeMap::new(), in_flight: 0, others: 0, reported_at: Timestamp(0) }
     }
 
-    fn answered(&mut self, now: Timestamp, servers: &BusyServers) {
+    fn record_response(&mut self, now: Timestamp, servers: &SimulatedServers) {
         self.in_flight -= 1;
-        self.others = servers.busy() - self.in_flight.min(servers.busy());
-        self.seen_at = now;
+        self.others = servers.call_count() - self.in_flight.min(servers.call_count());
+        self.reported_at = now;
     }
 
-    /// Expects what its own calls and the load that was stated lately make of the service.
-    fn view(&self, now: Timestamp, servers: &BusyServers) -> ServiceView {
-        let age = Some(now.since(self.seen_at)).filter(|age| *age < BELIEVED);
-        let estimate = servers.estimate_of(self.in_flight + age.map_or(0, |_| self.others));
-        ServiceView { estimate: WaitEstimate { age, ..estimate }, in_flight: self.in_flight }
+    /// Returns the load of the service according to the node's own calls and the last report, if it is recent.
+    fn load(&self, now: Timestamp, servers: &SimulatedServers) -> ServiceLoad {
+        let age = Some(now.since(self.reported_at)).filter(|age| *age < LOAD_REPORT_TTL);
+        let estimate = servers.estimate_for(self.in_flight + age.map_or(0, |_| self.others));
+        ServiceLoad { estimate: WaitEstimate { load_age: age, ..estimate }, in_flight: self.in_flight }
     }
 }
 
-/// Plays a load of `demand` times the room at so many nodes; `priority_of` gives each call its rank.
-fn play(node_count: usize, demand: f64, priority_of: impl Fn(&mut Pcg64Mcg) -> u8) -> Outcome {
+/// Simulates arrivals of `demand` times the capacity at a number of nodes; `priority_of` returns the priority of
+/// each call.
+fn simulate(node_count: usize, demand: f64, priority_of: impl Fn(&mut Pcg64Mcg) -> u8) -> Outcome {
     let mut random = Pcg64Mcg::seed_from_u64(7);
-    let mut servers = BusyServers::new(PLACES, WORK);
+    let mut servers = SimulatedServers::new(SLOTS, SERVICE_TIME);
     let mut nodes: Vec<Node> = (0..node_count).map(|_| Node::new()).collect();
     let mut outcome = Outcome::default();
-    let rate = demand * PLACES as f64 / WORK.as_millis() as f64;
+    let rate = demand * SLOTS as f64 / SERVICE_TIME.as_millis() as f64;
     for ms in 0..LENGTH_MS {
         let now = Timestamp(ms);
         for call in servers.tick(now) {
-            nodes[node_of(&call)].answered(now, &servers);
-            let is_good = ms >= FILL_MS && now.since(call.arrived) <= OBJECTIVE;
-            outcome.ranks.entry(call.rank.priority).or_default()[2] += u32::from(is_good);
+            nodes[node_of(&call)].record_response(now, &servers);
+            let is_in_time = ms >= WARMUP_MS && now.since(call.arrived) <= TARGET_LATENCY;
+            outcome.by_priority.entry(call.rank.priority).or_default()[2] += u32::from(is_in_time);
         }
-        if ms == FILL_MS {
+        if ms == WARMUP_MS {
             servers.busy_ms = 0;
         }
-        // Arrivals come in clumps: each millisecond up to twice the mean.
+        // Arrivals are bursty: up to twice the mean in each millisecond.
         let arrivals = (random.random_range(0.0..2.0) * rate + random.random::<f64>()) as u32;
         for number in 0..arrivals {
-            let place = random.random_range(0..node_count);
-            let call = call_of(&format!("{place}/{ms}-{number}"), priority_of(&mut random), now);
-            outcome.ranks.entry(call.rank.priority).or_default()[0] += 1;
-            let view = nodes[place].view(now, &servers);
-            match nodes[place].queue.submit(now, call.clone(), &view) {
-                CallAdmission::Go => go(&mut servers, &mut nodes[place], &mut outcome, call),
-                CallAdmission::Wait { number, .. } => drop(nodes[place].waiting.insert(number, call)),
-                CallAdmission::Refuse(_) => outcome.refused_after.push(Duration::ZERO),
+            let node = random.random_range(0..node_count);
+            let call = client_call(&format!("{node}/{ms}-{number}"), priority_of(&mut random), now);
+            outcome.by_priority.entry(call.rank.priority).or_default()[0] += 1;
+            let load = nodes[node].load(now, &servers);
+            match nodes[node].queue.submit(now, call.clone(), &load) {
+                AdmissionDecision::Admit => dispatch(&mut servers, &mut nodes[node], &mut outcome, call),
+                AdmissionDecision::Wait { id, .. } => drop(nodes[node].waiting.insert(id, call)),
+                AdmissionDecision::Refuse(_) => outcome.refusal_times.push(Duration::ZERO),
             }
         }
         for node in &mut nodes {
-            let view = node.view(now, &servers);
-            for fate in node.queue.advance(now, &view) {
-                match fate {
-                    CallFate::Go(number) => {
-                        node.queue.settled();
-                        let call = node.waiting.remove(&number).unwrap();
-                        go(&mut servers, node, &mut outcome, call);
+            let load = node.load(now, &servers);
+            for wait_outcome in node.queue.advance(now, &load) {
+                match wait_outcome {
+                    WaitOutcome::Admit(id) => {
+                        node.queue.finish_dispatch();
+                        let call = node.waiting.remove(&id).unwrap();
+                        dispatch(&mut servers, node, &mut outcome, call);
                     }
-                    CallFate::Refuse(number, _) => {
-                        let call = node.waiting.remove(&number).unwrap();
-                        outcome.refused_after.push(now.since(call.arrived));
+                    WaitOutcome::Refuse(id, _) => {
+                        let call = node.waiting.remove(&id).unwrap();
+                        outcome.refusal_times.push(now.since(call.arrived));
                     }
                 }
             }
         }
     }
-    outcome.busy_part = servers.busy_ms as f64 / ((LENGTH_MS - FILL_MS) as f64 * PLACES as f64);
+    outcome.busy_fraction = servers.busy_ms as f64 / ((LENGTH_MS - WARMUP_MS) as f64 * SLOTS as f64);
     outcome
 }
 
-fn go(servers: &mut BusyServers, node: &mut Node, outcome: &mut Outcome, call: WaitingCall) {
-    outcome.ranks.entry(call.rank.priority).or_default()[1] += 1;
+fn dispatch(servers: &mut SimulatedServers, node: &mut Node, outcome: &mut Outcome, call: WaitingCall) {
+    outcome.by_priority.entry(call.rank.priority).or_default()[1] += 1;
     node.in_flight += 1;
-    servers.take(call);
+    servers.accept(call);
 }
 
-/// Returns the node at which a call came, which its id begins with.
+/// Returns the node at which a call arrived, which is the first part of its id.
 fn node_of(call: &WaitingCall) -> usize {
     call.id.split('/').next().unwrap().parse().unwrap()
 }
 
-/// More callers than places, at one node or at many that know of the others' calls by the answers to their
-/// own: of all places nearly each must work, callers that are refused must still have most of their time,
-/// and more callers must not make fewer answers.
+/// Simulates overload at a single node and at many nodes that learn of each other's calls from the responses to
+/// their own. Nearly all slots must be busy, refused callers must have most of their time left, and a higher
+/// demand must not reduce the number of calls that complete in time.
 #[test]
-fn the_room_is_used_and_refusals_come_early_at_any_demand() {
+fn capacity_is_used_and_refusals_are_early_at_any_demand() {
     for nodes in [1, 2, 9, 81] {
-        let draw = |random: &mut Pcg64Mcg| random.random_range(0..3);
-        let mut outcomes = [1.5, 3.0, 10.0].map(|demand| (demand, play(nodes, demand, draw)));
-        let best = outcomes.iter().map(|(_, outcome)| outcome.good()).max().unwrap();
+        let priority_of = |random: &mut Pcg64Mcg| random.random_range(0..3);
+        let mut outcomes = [1.5, 3.0, 10.0].map(|demand| (demand, simulate(nodes, demand, priority_of)));
+        let best = outcomes.iter().map(|(_, outcome)| outcome.completed_in_time()).max().unwrap();
         for (demand, outcome) in &mut outcomes {
-            let (good, about) = (outcome.good(), format!("at {demand} and {nodes} nodes"));
-            assert!(outcome.busy_part >= 0.95, "{:.3} of the places {about}", outcome.busy_part);
-            assert!(f64::from(good) >= 0.95 * f64::from(best), "{good} of {best} {about}");
-            let refused_after = outcome.refusal_p99();
-            assert!(refused_after < OBJECTIVE / 4, "{refused_after:?} {about}");
+            let (in_time, about) = (outcome.completed_in_time(), format!("at {demand} and {nodes} nodes"));
+            assert!(outcome.busy_fraction >= 0.95, "{:.3} of the slots {about}", outcome.busy_fraction);
+            assert!(f64::from(in_time) >= 0.95 * f64::from(best), "{in_time} of {best} {about}");
+            let p99 = outcome.refusal_p99();
+            assert!(p99 < TARGET_LATENCY / 4, "{p99:?} {about}");
         }
     }
 }
 
-/// Ranks share the room in their order, and the last one is served all the same. Half of the room is left
-/// to the first one at least, so where it asks for less, nearly all of its calls are served.
+/// More urgent calls must be served at least as well as less urgent ones, without starving these. At least half
+/// of the capacity is left to the most urgent calls, so nearly all of them are served if they need less.
 #[test]
-fn more_urgent_calls_are_served_no_less_and_the_least_urgent_ones_still_are() {
-    for (nodes, demand, urgent_part) in loads_of_ranks() {
-        let outcome = play(nodes, demand, |random| match random.random::<f64>() {
-            draw if draw < urgent_part => 0,
-            draw if draw < urgent_part + (1.0 - urgent_part) / 2.0 => 1,
+fn more_urgent_calls_are_served_no_worse_and_the_least_urgent_do_not_starve() {
+    for (nodes, demand, urgent_fraction) in priority_mixes() {
+        let outcome = simulate(nodes, demand, |random| match random.random::<f64>() {
+            draw if draw < urgent_fraction => 0,
+            draw if draw < urgent_fraction + (1.0 - urgent_fraction) / 2.0 => 1,
             _ => 2,
         });
-        let parts = [0, 1, 2].map(|priority| outcome.served_part(priority));
-        let about = format!("{parts:.3?} at {demand} and {nodes} nodes with {urgent_part} urgent");
-        assert!(parts[0] >= parts[1] - 0.01 && parts[1] >= parts[2] - 0.01, "{about}");
-        // One in 25 of its part is due to each; counts follow with a delay.
-        assert!(parts[2] >= parts[0] / 30.0, "{about}");
-        assert!(nodes > 1 || demand * urgent_part > 0.5 || parts[0] >= 0.9, "{about}");
+        let served = [0, 1, 2].map(|priority| outcome.admitted_fraction(priority));
+        let about = format!("{served:.3?} at {demand} and {nodes} nodes with {urgent_fraction} urgent");
+        assert!(served[0] >= served[1] - 0.01 && served[1] >= served[2] - 0.01, "{about}");
+        // A class is due 1/25 of the fraction of more urgent ones; 1/30 allows for the delay of the counts.
+        assert!(served[2] >= served[0] / 30.0, "{about}");
+        assert!(nodes > 1 || demand * urgent_fraction > 0.5 || served[0] >= 0.9, "{about}");
     }
 }
 
-/// Returns nodes, demand and the part of urgent calls, few of them or so many that they could take all
-/// places.
-fn loads_of_ranks() -> impl Iterator<Item = (usize, f64, f64)> {
+/// Returns numbers of nodes, demands and fractions of urgent calls, from few to so many that they could take all
+/// slots.
+fn priority_mixes() -> impl Iterator<Item = (usize, f64, f64)> {
     let demands = [1, 9].into_iter().flat_map(|nodes| [1.5, 3.0, 10.0].map(|demand| (nodes, demand)));
-    demands.flat_map(|(nodes, demand)| [0.05, 0.33, 0.8].map(|urgent_part| (nodes, demand, urgent_part)))
+    demands.flat_map(|(nodes, demand)| [0.05, 0.33, 0.8].map(|urgent_fraction| (nodes, demand, urgent_fraction)))
 }
--- a/crates/trestlerack/tests/admission_retries.rs
+++ b/crates/trestlerack/tests/admission_retries.rs
@@ -1,24 +1,24 @@
-//! When refused callers return, and how many second attempts there are.
+//! Retry times of refused callers, and the number of second attempts.
 
 use std::time::Duration;
-use trestlerack::process::{AttemptReason, ReturnTimes, RoomSettings, SecondAttempts};
+use trestlerack::process::{AdmissionSettings, AttemptReason, RetrySchedule, SecondAttemptBudget};
 use trestlerack::{Name, Timestamp};
 
 const MS: Duration = Duration::from_millis(1);
 
-/// Time that a caller has left.
+/// Time until the deadline of a caller.
 const LEFT: Duration = Duration::from_millis(780);
 
-/// Refuses callers at one moment, 30 ms before the queue is expected to be empty.
+/// Returns the retry times of `count` callers that are refused at the same moment.
 fn refused_together(count: usize, expected: Option<(Duration, Duration)>) -> Vec<Duration> {
-    let (settings, mut returns) = (RoomSettings::default(), ReturnTimes::default());
+    let (settings, mut schedule) = (AdmissionSettings::default(), RetrySchedule::default());
     let ids = (0..count).map(|number| format!("request-{number}"));
-    ids.map(|id| returns.return_after(&settings, Timestamp(1_000), expected, &id, LEFT)).collect()
+    ids.map(|id| schedule.retry_after(&settings, Timestamp(1_000), expected, &id, LEFT)).collect()
 }
 
-/// Two hundred callers that are refused in one moment would be refused again if they came back in one.
+/// If 200 callers that are refused at one moment all retried at one moment, most would be refused again.
 #[test]
-fn callers_refused_together_return_over_the_time_that_serving_them_takes() {
+fn callers_refused_together_retry_spread_over_the_time_to_serve_them() {
     let times = refused_together(200, Some((30 * MS, MS)));
     let mut sorted = times.clone();
     sorted.sort();
@@ -27,27 +27,27 @@
     for at in (30..230).step_by(10) {
         let within = |time: &&Duration| (at..at + 10).contains(&(time.as_millis() as u64));
         let count = sorted.iter().filter(within).count();
-        assert!(count <= 50, "{count} of 200 return within 10 ms, {at} ms later");
+        assert!(count <= 50, "{count} of 200 retry within 10 ms, {at} ms later");
     }
-    assert_eq!(times, refused_together(200, Some((30 * MS, MS))), "the same each time");
+    assert_eq!(times, refused_together(200, Some((30 * MS, MS))), "the times depend on the ids only");
 }
 
 #[test]
-fn a_single_caller_returns_once_the_queue_is_empty() {
+fn a_single_caller_retries_once_the_queue_is_empty() {
     for time in refused_together(1, Some((30 * MS, MS))) {
         assert!(time >= 30 * MS && time <= 60 * MS, "{time:?}");
     }
 }
 
 #[test]
-fn nobody_is_told_a_time_past_a_third_of_what_is_left() {
-    let (settings, mut returns) = (RoomSettings::default(), ReturnTimes::default());
+fn no_retry_time_exceeds_a_third_of_the_time_left() {
+    let (settings, mut schedule) = (AdmissionSettings::default(), RetrySchedule::default());
     for left in [0, 3, 30, 300, 450, 3_000] {
         let left = Duration::from_millis(left);
         for number in 0..100 {
             for expected in [None, Some((100 * MS, 5 * MS)), Some((Duration::MAX, MS))] {
                 let id = number.to_string();
-                let time = returns.return_after(&settings, Timestamp(1_000), expected, &id, left);
+                let time = schedule.retry_after(&settings, Timestamp(1_000), expected, &id, left);
                 assert!(time <= left / 3 + MS, "{time:?} of {left:?}");
             }
         }
@@ -55,45 +55,46 @@
 }
 
 #[test]
-fn where_nothing_is_known_the_fixed_time_is_the_least() {
+fn an_unknown_service_uses_the_default_as_the_minimum_retry_time() {
     let times = refused_together(100, None);
-    let settings = RoomSettings::default();
-    assert!(times.iter().all(|time| (settings.return_time..=LEFT / 3).contains(time)));
+    let settings = AdmissionSettings::default();
+    assert!(times.iter().all(|time| (settings.default_retry_after..=LEFT / 3).contains(time)));
     let distinct: std::collections::BTreeSet<u128> = times.iter().map(Duration::as_millis).collect();
-    assert!(distinct.len() > 30, "{} moments", distinct.len());
+    assert!(distinct.len() > 30, "{} distinct times", distinct.len());
 }
 
-/// All servers fail: for 10,000 calls of a customer there are a tenth as many second attempts and the
-/// reserve, so attempts over calls stay at 1.1.
+/// If all servers fail, second attempts must not multiply the load: 10,000 calls of a customer may cause a
+/// tenth as many second attempts plus the reserve.
 #[test]
 fn second_attempts_are_a_tenth_of_the_calls_when_everything_fails() {
-    let settings = RoomSettings::default();
-    let mut second_attempts = SecondAttempts::new(&settings);
+    let settings = AdmissionSettings::default();
+    let mut budget = SecondAttemptBudget::new(&settings);
     let (customer, route): (Name, Name) = ("c".into(), "r".into());
     let mut attempts = 0;
     for _ in 0..10_000 {
-        second_attempts.call(Some(&customer), &route);
+        budget.record_call(Some(&customer), &route);
         attempts += 1;
-        while second_attempts.pay(Some(&customer), &route, AttemptReason::AfterFailure, false) {
+        while budget.try_spend(Some(&customer), &route, AttemptReason::Retry, false) {
             attempts += 1;
         }
     }
     assert!(attempts <= 11_000 + settings.retry_reserve as u32, "{attempts}");
-    // The next customer's calls, and those of nobody in particular, have a budget of their own.
-    assert!(second_attempts.pay(Some(&"other".into()), &route, AttemptReason::AfterFailure, false));
-    assert!(second_attempts.pay(None, &route, AttemptReason::AfterFailure, false));
+    // Calls of another customer, and those without a customer, have budgets of their own.
+    assert!(budget.try_spend(Some(&"other".into()), &route, AttemptReason::Retry, false));
+    assert!(budget.try_spend(None, &route, AttemptReason::Retry, false));
 }
 
 #[test]
-fn while_a_service_is_short_no_server_is_added_beside_one_that_works() {
-    let mut second_attempts = SecondAttempts::new(&RoomSettings::default());
+fn hedges_are_not_allowed_while_a_service_is_overloaded() {
+    let mut budget = SecondAttemptBudget::new(&AdmissionSettings::default());
     let route: Name = "r".into();
-    let expected = [
-        (AttemptReason::Beside, false, true),
-        (AttemptReason::AfterFailure, true, true),
-        (AttemptReason::Beside, true, false),
-    ];
-    for (reason, is_short, is_paid) in expected {
-        assert_eq!(second_attempts.pay(None, &route, reason, is_short), is_paid, "{reason:?}, short: {is_short}");
+    let expected =
+        [(AttemptReason::Hedge, false, true), (AttemptReason::Retry, true, true), (AttemptReason::Hedge, true, false)];
+    for (reason, is_overloaded, is_allowed) in expected {
+        assert_eq!(
+            budget.try_spend(None, &route, reason, is_overloaded),
+            is_allowed,
+            "{reason:?}, overloaded: {is_overloaded}"
+        );
     }
 }
--- a/crates/trestlerack/tests/call_ranks.rs
+++ b/crates/trestlerack/tests/call_ranks.rs
@@ -1,4 +1,4 @@
-//! Who goes first where room is short, and what is expected of a service.
+//! The order of calls while a service is overloaded, and the estimated wait of a service.
 
 #[path = "support/load.rs"]
 mod load;
@@ -10,51 +10,54 @@
 use trestlerack::version::Customer;
 
 #[test]
-fn the_customers_rank_goes_before_the_routes_then_the_share_then_the_deadline() {
+fn calls_are_ordered_by_priority_then_share_then_deadline() {
     let customer = |priority| Customer { name: "c".into(), priority, ..Customer::default() };
     let rank = |customer: &Customer, route_priority, is_over, deadline| {
         CallRank::new(Some(customer), &safe_route(route_priority), is_over, Timestamp(deadline))
     };
-    let (first, second, unranked) = (customer(Some(0)), customer(Some(1)), customer(None));
-    assert!(rank(&first, 9, true, 900) < rank(&second, 0, false, 100), "the customer's rank goes first");
-    assert!(rank(&unranked, 0, true, 900) < rank(&second, 9, false, 100), "a route's rank stands in for none");
-    assert!(rank(&second, 0, false, 900) < rank(&second, 9, true, 100), "then who is within its share");
-    assert!(rank(&second, 0, true, 100) < rank(&second, 0, true, 101), "then who leaves first");
+    let (first, second, without_priority) = (customer(Some(0)), customer(Some(1)), customer(None));
+    assert!(rank(&first, 9, true, 900) < rank(&second, 0, false, 100), "the customer's priority overrides the route's");
+    assert!(
+        rank(&without_priority, 0, true, 900) < rank(&second, 9, false, 100),
+        "a customer without a priority uses the route's"
+    );
+    assert!(rank(&second, 0, false, 900) < rank(&second, 9, true, 100), "customers within their share come first");
+    assert!(rank(&second, 0, true, 100) < rank(&second, 0, true, 101), "the earlier deadline comes first");
     assert!(CallRank::new(None, &safe_route(1), false, Timestamp(5)) < rank(&second, 9, false, 6));
 }
 
 #[test]
-fn a_service_is_expected_to_take_a_call_at_once_until_all_places_are_taken() {
+fn the_estimated_wait_is_zero_until_all_slots_are_taken() {
     let now = Timestamp(1_000);
     let mut board = board_of(&[plain_server("i-1", "s", "z", 2), plain_server("i-2", "s", "z", 2)]);
     for _ in 0..10 {
         board.answered(&"s".into(), Duration::from_millis(40));
     }
     let estimate = board.wait_estimate(now, "s");
-    assert_eq!((estimate.wait, estimate.places, estimate.free), (Duration::ZERO, 4, 4));
-    assert_eq!((estimate.work, estimate.age), (Duration::from_millis(40), None));
+    assert_eq!((estimate.wait, estimate.slots, estimate.free_slots), (Duration::ZERO, 4, 4));
+    assert_eq!((estimate.service_time, estimate.load_age), (Duration::from_millis(40), None));
     board.stated_load(now, "i-1", 2, 1);
     board.stated_load(now, "i-2", 2, 0);
     let full = board.wait_estimate(now, "s");
-    assert_eq!((full.free, full.age), (0, Some(Duration::ZERO)));
-    assert_eq!(full.wait, Duration::from_millis(20), "one waits already, and a place is free each 10 ms");
-    assert_eq!(board.wait_estimate(now, "none").wait, Duration::MAX, "no server will ever take it");
+    assert_eq!((full.free_slots, full.load_age), (0, Some(Duration::ZERO)));
+    assert_eq!(full.wait, Duration::from_millis(20), "one call waits already, and a slot becomes free every 10 ms");
+    assert_eq!(board.wait_estimate(now, "none").wait, Duration::MAX, "there are no servers");
 }
 
 #[test]
-fn a_service_opens_when_the_first_pause_of_its_servers_ends() {
+fn a_paused_service_opens_when_the_first_pause_of_its_servers_ends() {
     let now = Timestamp(1_000);
     let mut board = board_of(&["a", "b"].map(|name| plain_server(name, "s", "z", 4)));
     assert_eq!(board.opens_at("none"), None);
     let first_pause = board.failed(now, "a");
     board.failed(now + Duration::from_millis(50), "b");
     assert_eq!(board.opens_at("s"), Some(now + first_pause));
-    assert_eq!(board.wait_estimate(now + Duration::from_millis(50), "s").places, 0);
-    assert_eq!(board.wait_estimate(now + first_pause, "s").places, 4);
+    assert_eq!(board.wait_estimate(now + Duration::from_millis(50), "s").slots, 0);
+    assert_eq!(board.wait_estimate(now + first_pause, "s").slots, 4);
 }
 
 #[test]
-fn a_server_that_is_emptied_opens_no_more() {
+fn a_draining_server_never_opens_the_service() {
     let mut draining = plain_server("a", "s", "z", 4);
     draining.is_draining = true;
     assert_eq!(board_of(&[draining]).opens_at("s"), None);
--- a/crates/trestlerack/tests/duties.rs
+++ b/crates/trestlerack/tests/duties.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use trestlerack::process::{
-    DutyGate, DutySettings, SteadyWall, UsageCounter, UsageDesk, UsageNote, UsageSender, UsageSettings,
+    DutyGate, DutySettings, StableWallClock, UsageCounter, UsageDesk, UsageNote, UsageSender, UsageSettings,
 };
 use trestlerack::{Name, Timestamp};
 
@@ -97,7 +97,7 @@
 /// The time of day jumps by two seconds for five, as a clock does that is set twice.
 #[test]
 fn a_jump_of_the_time_of_day_is_not_followed_until_it_stays() {
-    let mut wall = SteadyWall::default();
+    let mut wall = StableWallClock::default();
     let true_ms = |steady: u64| 1_700_000_000_000 + steady;
     assert_eq!(wall.read(0, true_ms(0)), true_ms(0));
     for steady in (100..5_000).step_by(100) {
@@ -109,7 +109,7 @@
         let drifted = true_ms(steady) + (steady - 5_000) / 100;
         assert_eq!(wall.read(steady, drifted), drifted);
     }
-    let mut wall = SteadyWall::default();
+    let mut wall = StableWallClock::default();
     wall.read(0, true_ms(0));
     let followed = (1_000..200_000).step_by(1_000).find(|at| wall.read(*at, true_ms(*at) - 7_000) < true_ms(*at));
     assert_eq!(followed, Some(61_000));
--- a/crates/trestlerack/tests/limits.rs
+++ b/crates/trestlerack/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits: per user over all nodes, retries as a share of first attempts, ejection with a floor.
+//! Per-user rate limits over all nodes, retry budgets, outlier ejection and the sample spool.
 
 mod support;
 
@@ -12,7 +12,7 @@
 use trestlerack::{Failure, Name, Timestamp};
 
 #[test]
-fn a_users_limit_holds_over_all_nodes_together() {
+fn the_rate_limit_of_a_user_holds_over_all_nodes() {
     for_seeds(50, |seed| {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let (nodes, limit) = (9, 90);
@@ -29,12 +29,12 @@
         }
         let burst = limit as usize;
         assert!(admitted <= 10 * limit as usize + burst, "{admitted} calls in ten seconds");
-        assert!(admitted >= 9 * limit as usize, "{admitted} calls: an even load gets its limit");
+        assert!(admitted >= 9 * limit as usize, "{admitted} calls: an even load reaches its limit");
     });
 }
 
 #[test]
-fn retries_stay_a_share_of_first_attempts_when_everything_fails() {
+fn retries_are_limited_to_a_fraction_of_first_attempts_when_everything_fails() {
     let mut budget = RetryBudget::new(0.2, 20.0);
     let (user, service): (Name, Name) = ("kitamura".into(), "records".into());
     let mut sent = 0;
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_call_that_must_not_repeat_is_sent_again_only_when_it_was_not_run() {
+fn a_call_that_must_not_be_repeated_is_retried_only_if_it_did_not_run() {
     let policy = ResumePolicy { repeatable: false, patient: true };
     let decide = |failure: &Failure| decide_resume(failure, policy, Timestamp(0), Timestamp(1_000), || true);
     let may_have_run = Failure::may_have_run(Reason::BackendFailed, "broke");
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn only_a_retry_that_reaches_a_backend_spends_from_the_budget() {
+fn a_retry_without_a_backend_does_not_spend_from_the_budget() {
     let policy = ResumePolicy { repeatable: true, patient: true };
     let failure = Failure::not_run(Reason::NoBackend, "none");
     let decision = decide_resume(&failure, policy, Timestamp(0), Timestamp(1_000), || panic!("asked"));
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn ejection_keeps_its_floor_and_lets_back_in_steps() {
+fn ejection_spares_half_of_the_servers_and_readmits_in_steps() {
     for_seeds(200, |seed| {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let mut detector = OutlierDetector::new(OutlierSettings::default());
@@ -77,7 +77,7 @@
             let name = &names[random.random_range(0..names.len())];
             detector.record(now, name, random.random_ratio(1, 3), names.len());
             let ejected = names.iter().filter(|name| detector.limit(now, name, 8) == 0).count();
-            assert!(ejected <= 3, "half of them always serve");
+            assert!(ejected <= 3, "at least half of the servers keep serving");
         }
     });
     let mut detector = OutlierDetector::new(OutlierSettings::default());
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn the_spool_is_bounded_keeps_its_order_and_loses_nothing() {
+fn the_spool_is_bounded_and_stores_each_group_once_in_order() {
     for_seeds(200, |seed| {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let settings = SpoolSettings { max_bytes: 100, ..SpoolSettings::default() };
@@ -111,12 +111,12 @@
                 stored.push(group);
             }
         }
-        assert_eq!(stored, offered, "first in, first out, nothing lost or doubled");
+        assert_eq!(stored, offered, "each group is stored exactly once, in order");
     });
 }
 
 #[test]
-fn all_nodes_together_drain_at_one_rate_however_many_they_are() {
+fn the_total_drain_rate_does_not_depend_on_the_number_of_nodes() {
     for nodes in [1, 9, 40, 370] {
         let mut drained = 0;
         for _ in 0..nodes {
--- a/crates/trestlerack/tests/store_rates.rs
+++ b/crates/trestlerack/tests/store_rates.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use trestlerack::Timestamp;
 use trestlerack::border::StoreError;
-use trestlerack::process::{DirectWay, NODE_PARTITIONS, WayChange, node_partition, rate_pause};
+use trestlerack::process::{DirectWay, NODE_PARTITIONS, WayChange, node_partition, rate_limit_backoff};
 
 /// Transactions that a partition takes a second; one second of them may wait.
 const PARTITION_RATE: usize = 150;
@@ -54,7 +54,7 @@
             *queue = (*queue + 0.1).min(PARTITION_RATE as f64 * 1.5);
             refused += 1;
             *failures += 1;
-            *at = now + rate_pause(*failures, numbers.next());
+            *at = now + rate_limit_backoff(*failures, numbers.next());
             true
         });
         now += STEP;
@@ -98,10 +98,10 @@
 
 #[test]
 fn pauses_after_refusals_grow_to_a_bound_and_differ_between_nodes() {
-    let pauses: Vec<Duration> = (1..10).map(|refusals| rate_pause(refusals, 0.5)).collect();
+    let pauses: Vec<Duration> = (1..10).map(|refusals| rate_limit_backoff(refusals, 0.5)).collect();
     assert!(pauses.windows(2).all(|pair| pair[0] <= pair[1]), "{pauses:?}");
     assert_eq!((pauses[0], pauses[8]), (Duration::from_millis(500), Duration::from_secs(4)));
-    let spread: BTreeSet<Duration> = (0..10).map(|step| rate_pause(3, f64::from(step) / 10.0)).collect();
+    let spread: BTreeSet<Duration> = (0..10).map(|step| rate_limit_backoff(3, f64::from(step) / 10.0)).collect();
     assert_eq!(spread.len(), 10);
 }
 
--- a/crates/trestlerack/tests/support/admission.rs
+++ b/crates/trestlerack/tests/support/admission.rs
@@ -1,72 +1,72 @@
-//! Servers with places, and calls for them, for loops over decisions on room.
+//! Simulated servers with a fixed number of slots, and calls to them, for tests of admission.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 use trestlerack::Timestamp;
 use trestlerack::process::{CallKind, CallRank, WaitEstimate, WaitingCall};
 
-/// Objective of all calls.
-pub const OBJECTIVE: Duration = Duration::from_millis(150);
+/// Target latency of all calls.
+pub const TARGET_LATENCY: Duration = Duration::from_millis(150);
 
-/// Time after which callers leave.
-pub const PATIENCE: Duration = Duration::from_millis(800);
+/// Time after which callers stop waiting.
+pub const CALLER_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Servers of one service, which run calls and let a few wait.
-pub struct BusyServers {
-    places: usize,
-    work: Duration,
+/// The servers of a service, which run calls and queue those that have no slot yet.
+pub struct SimulatedServers {
+    slots: usize,
+    service_time: Duration,
     running: Vec<(Timestamp, WaitingCall)>,
     waiting: VecDeque<WaitingCall>,
-    /// Milliseconds of places that worked.
+    /// Sum over all slots of the time in which they were busy, in milliseconds.
     pub busy_ms: u64,
 }
 
-impl BusyServers {
-    pub fn new(places: usize, work: Duration) -> Self {
-        Self { places, work, running: Vec::new(), waiting: VecDeque::new(), busy_ms: 0 }
+impl SimulatedServers {
+    pub fn new(slots: usize, service_time: Duration) -> Self {
+        Self { slots, service_time, running: Vec::new(), waiting: VecDeque::new(), busy_ms: 0 }
     }
 
-    pub fn take(&mut self, call: WaitingCall) {
+    pub fn accept(&mut self, call: WaitingCall) {
         self.waiting.push_back(call);
     }
 
-    /// Returns the calls that are answered in this millisecond.
+    /// Advances by a millisecond and returns the calls that completed.
     pub fn tick(&mut self, now: Timestamp) -> Vec<WaitingCall> {
         let (done, running) = std::mem::take(&mut self.running).into_iter().partition(|(end, _)| *end <= now);
         self.running = running;
-        // Callers whose time is over have left.
+        // Calls past their deadline are dropped.
         self.waiting.retain(|call| now < call.rank.deadline);
-        while self.running.len() < self.places
+        while self.running.len() < self.slots
             && let Some(call) = self.waiting.pop_front()
         {
-            self.running.push((now + self.work, call));
+            self.running.push((now + self.service_time, call));
         }
         self.busy_ms += self.running.len() as u64;
         done.into_iter().map(|(_, call)| call).collect()
     }
 
     /// Returns how many calls run or wait at the servers.
-    pub fn busy(&self) -> u32 {
+    pub fn call_count(&self) -> u32 {
         (self.running.len() + self.waiting.len()) as u32
     }
 
-    /// Returns what is to be expected if so many calls run or wait.
-    pub fn estimate_of(&self, busy: u32) -> WaitEstimate {
-        let places = self.places as u32;
-        let free = places.saturating_sub(busy);
-        let wait = if free > 0 { Duration::ZERO } else { self.work * (busy - places + 1) / places };
-        WaitEstimate { wait, work: self.work, places, free, age: None }
+    /// Returns the estimate of a node that assumes `call_count` calls at the servers.
+    pub fn estimate_for(&self, call_count: u32) -> WaitEstimate {
+        let slots = self.slots as u32;
+        let free_slots = slots.saturating_sub(call_count);
+        let wait = if free_slots > 0 { Duration::ZERO } else { self.service_time * (call_count - slots + 1) / slots };
+        WaitEstimate { wait, service_time: self.service_time, slots, free_slots, load_age: None }
     }
 }
 
-/// Returns a call that comes now.
-pub fn call_of(id: &str, priority: u8, now: Timestamp) -> WaitingCall {
+/// Returns a client call that arrives at `now`.
+pub fn client_call(id: &str, priority: u8, now: Timestamp) -> WaitingCall {
     WaitingCall {
         id: id.into(),
         customer: None,
         kind: CallKind::Client,
-        rank: CallRank { priority, is_over_share: false, deadline: now + PATIENCE },
+        rank: CallRank { priority, is_over_share: false, deadline: now + CALLER_TIMEOUT },
         arrived: now,
-        objective: Some(OBJECTIVE),
+        target_latency: Some(TARGET_LATENCY),
     }
 }
--- a/crates/trestlerack/tests/support/load.rs
+++ b/crates/trestlerack/tests/support/load.rs
@@ -1,11 +1,11 @@
-//! Servers and routes for tests of decisions under load.
+//! Constructors of servers, boards and routes for tests.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "no test file uses all of them")]
 
 use trestlerack::process::{BoardSettings, RegistrySettings, ServerBoard, ServerEntry, ServerRegistry};
 use trestlerack::version::{RequestRoute, RouteKind, SplitShare};
 
-/// Returns a server of a plain service.
+/// Returns a server of a service without models.
 pub fn plain_server(instance: &str, service: &str, zone: &str, slots: u32) -> ServerEntry {
     ServerEntry {
         instance: instance.into(),
@@ -20,7 +20,7 @@
     }
 }
 
-/// Returns a board that knows these servers and nothing of them.
+/// Returns a board with these servers, without any observations of them.
 pub fn board_of(entries: &[ServerEntry]) -> ServerBoard {
     let mut registry = ServerRegistry::new(RegistrySettings::default());
     entries.iter().for_each(|entry| assert!(registry.put(entry.clone())));
@@ -29,7 +29,7 @@
     board
 }
 
-/// Returns a repeatable route to the service `s`.
+/// Returns a route to the service `s` whose requests may be repeated.
 pub fn safe_route(priority: u8) -> RequestRoute {
     RequestRoute {
         name: "r".into(),
--- a/crates/trestlerack/tests/uneven_load.rs
+++ b/crates/trestlerack/tests/uneven_load.rs
@@ -10,7 +10,7 @@
 use std::collections::{BinaryHeap, HashMap, HashSet, VecDeque};
 use std::time::Duration;
 use trestlerack::process::{
-    AttemptReason, RoomSettings, SecondAttempts, ServerBoard, ServerNeed, ServerNote, server_gossip,
+    AdmissionSettings, AttemptReason, SecondAttemptBudget, ServerBoard, ServerNeed, ServerNote, server_gossip,
 };
 use trestlerack::{Name, Timestamp};
 
@@ -66,7 +66,7 @@
     slowness: Slowness,
     random: StdRng,
     boards: Vec<ServerBoard>,
-    budgets: Vec<SecondAttempts>,
+    budgets: Vec<SecondAttemptBudget>,
     names: Vec<Name>,
     server_names: Vec<Name>,
     states: Vec<PlayedServer>,
@@ -100,7 +100,7 @@
             slowness,
             random: StdRng::seed_from_u64(seed),
             boards,
-            budgets: (0..nodes).map(|_| SecondAttempts::new(&RoomSettings::default())).collect(),
+            budgets: (0..nodes).map(|_| SecondAttemptBudget::new(&AdmissionSettings::default())).collect(),
             names: (0..nodes).map(|number| format!("n-{number}").into()).collect(),
             server_names: entries.iter().map(|entry| entry.instance.clone()).collect(),
             states: (0..servers).map(|_| PlayedServer::default()).collect(),
@@ -157,9 +157,9 @@
             self.trials.insert(call);
         }
         self.send(now, server, Attempt { call, node, sent: now });
-        self.budgets[node].call(None, &self.kind);
+        self.budgets[node].record_call(None, &self.kind);
         let target = Duration::from_millis(TARGET_MS);
-        if let Some(after) = self.boards[node].second_attempt_after("s", "r", target) {
+        if let Some(after) = self.boards[node].hedge_delay("s", "r", target) {
             self.queue.push(Reverse((now + after.as_millis() as u64, Event::SecondAsked { call, node })));
         }
     }
@@ -261,9 +261,9 @@
         let elapsed = Duration::from_millis(now - started);
         self.boards[node].answer_outstanding(Timestamp(now), &first, &self.kind, elapsed);
         self.tell(now, node);
-        let has_room = self.boards[node].has_room(Timestamp(now), "s");
+        let has_room = self.boards[node].has_free_slot(Timestamp(now), "s");
         let is_trial = self.trials.contains(&call);
-        if !has_room || !(is_trial || self.budgets[node].pay(None, &self.kind, AttemptReason::Beside, false)) {
+        if !has_room || !(is_trial || self.budgets[node].try_spend(None, &self.kind, AttemptReason::Hedge, false)) {
             return;
         }
         if let Some(server) = self.choose(now, node, &[first]) {
--- a/crates/trestlerack/tests/uneven_steps.rs
+++ b/crates/trestlerack/tests/uneven_steps.rs
@@ -92,8 +92,8 @@
     assert!(ledger.was_preempted(1));
 }
 
-fn run_move(slowness: f64, other: f64, events_left: Option<f64>, is_last: bool) -> RunMove {
-    RunMove { slowness, other, pace: PACE, events_left, is_last }
+fn run_move(slowness: f64, other_slowness: f64, remaining_events: Option<f64>, is_final: bool) -> RunMove {
+    RunMove { slowness, other_slowness, event_gap: PACE, remaining_events, is_final }
 }
 
 #[test]
@@ -145,7 +145,9 @@
         let slowness = board.slowness(now, &engine);
         let pace = Duration::from_secs_f64(board.typical_pace(now, "s") / 1_000.0);
         let other_slowness = board.slowness(now, &other);
-        if (RunMove { slowness, other: other_slowness, pace, events_left: Some(left), is_last }).is_worth() {
+        if (RunMove { slowness, other_slowness, event_gap: pace, remaining_events: Some(left), is_final: is_last })
+            .is_worth()
+        {
             (engine, moves) = (other, moves + 1);
         }
         took += pace.as_secs_f64() * board.slowness(now, &engine);
--- a/crates/trestlerackd/src/entry/attempts.rs
+++ b/crates/trestlerackd/src/entry/attempts.rs
@@ -288,7 +288,7 @@
         let pick = |room| plain::pick_server(node, route, request, fingerprint, trail.tried(), room);
         let ticket = pick(ServerRoom::Place)?;
         let call = plain::room_call(route, request, trail.started(), deadline)?;
-        if is_early && !before.is_trial && !room::may_try_again(node, &call, AttemptReason::Beside) {
+        if is_early && !before.is_trial && !room::may_try_again(node, &call, AttemptReason::Hedge) {
             return None;
         }
         trail.add(&ticket.server.instance);
--- a/crates/trestlerackd/src/entry/duties/usage_count.rs
+++ b/crates/trestlerackd/src/entry/duties/usage_count.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 use trestlerack::Name;
-use trestlerack::process::{SteadyWall, UsageCounter, UsageDesk, UsageNote, UsageSender, UsageSettings};
+use trestlerack::process::{StableWallClock, UsageCounter, UsageDesk, UsageNote, UsageSender, UsageSettings};
 use trestlerack::time::millis;
 
 /// Least time between two notes to the holder. The first request after a pause is told at once, so
@@ -23,7 +23,7 @@
 pub struct UsageBook {
     /// Time since boot at which the book was opened.
     started: Duration,
-    wall: Mutex<SteadyWall>,
+    wall: Mutex<StableWallClock>,
     settings: Option<UsageSettings>,
     counter: Mutex<UsageCounter>,
     /// Notes of all nodes; complete at the holder only.
--- a/crates/trestlerackd/src/entry/feeds.rs
+++ b/crates/trestlerackd/src/entry/feeds.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 use trestlerack::border::StoreError;
-use trestlerack::process::{failure_pause, is_node_partition, watch_pause};
+use trestlerack::process::{failure_backoff, is_node_partition, watch_interval};
 use trestlerack::rows::{RowStore, StoreCall, StoreReply, StoredRow};
 use trestlerack::version::{EngineAssignment, RoutingTable};
 use trestlerack::{Name, event};
@@ -72,7 +72,7 @@
                     node.registry.lock().unwrap().store_lost();
                 }
                 failures += 1;
-                node.store.pause_after(error, failures, failure_pause(failures, rand::random())).await;
+                node.store.pause_after(error, failures, failure_backoff(failures, rand::random())).await;
             }
         }
     }
@@ -81,7 +81,7 @@
 /// Returns the pause before a table is watched again. The operator's rows change seldom.
 fn pause_between(node: &EntryNode, table: &str) -> Duration {
     let followers = node.levels.followers().map_or_else(|| node.peers.count(), |followers| followers.len());
-    let paced = watch_pause(followers, node.settings.store_reads_per_s).max(CHANGE_PAUSE);
+    let paced = watch_interval(followers, node.settings.store_reads_per_s).max(CHANGE_PAUSE);
     match table {
         platform::OPERATOR_TABLE => Duration::ZERO,
         platform::SERVER_TABLE => paced.max(SERVER_PAUSE),
--- a/crates/trestlerackd/src/entry/item_run.rs
+++ b/crates/trestlerackd/src/entry/item_run.rs
@@ -12,7 +12,7 @@
 use http_body_util::BodyExt;
 use std::sync::Arc;
 use std::time::Duration;
-use trestlerack::process::{EventPace, RunLimits, shows_preemption};
+use trestlerack::process::{EventPace, RunTimeouts, shows_preemption};
 use trestlerack::request::{JobItem, RunEnd, RunLane};
 use trestlerack::version::WeightVersion;
 use trestlerack::{Name, event};
@@ -108,9 +108,10 @@
     if !node.may_start_work() {
         return (RunEnd::NotRun, "news of ended jobs is too old".into());
     }
-    let limits = RunLimits::at_pace(node.board.lock().unwrap().typical_pace(node.now(), &ticket.server.service));
+    let limits =
+        RunTimeouts::for_event_gap(node.board.lock().unwrap().typical_pace(node.now(), &ticket.server.service));
     let opening = attempt::open_answer(node, ticket, request, false);
-    let open = match clock::timeout(limits.head, opening).await {
+    let open = match clock::timeout(limits.response_head, opening).await {
         Ok(Ok(open)) => open,
         Ok(Err(AttemptError::MayHaveRun(detail))) => return (RunEnd::Broken, detail),
         Ok(Err(error)) => return (RunEnd::NotRun, error.to_string()),
@@ -158,7 +159,7 @@
     driver: &Arc<JobDriver>,
     trace: &mut RunTrace,
     open: OpenAnswer,
-    limits: RunLimits,
+    limits: RunTimeouts,
 ) -> (RunEnd, String) {
     let OpenAnswer { mut body, lease, ticket, head, span: _span, .. } = open;
     let instance = ticket.server.instance.clone();
@@ -169,7 +170,7 @@
     let mut decoder = EventDecoder::default();
     let mut pace = EventPace::default();
     loop {
-        let frame = match clock::timeout(limits.event, body.frame()).await {
+        let frame = match clock::timeout(limits.event_gap, body.frame()).await {
             Ok(Some(Ok(frame))) => frame,
             Ok(Some(Err(error))) => {
                 node.board.lock().unwrap().failed(node.now(), &instance);
--- a/crates/trestlerackd/src/entry/mod.rs
+++ b/crates/trestlerackd/src/entry/mod.rs
@@ -66,7 +66,7 @@
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
 use trestlerack::event;
-use trestlerack::process::{EntrySettings, failure_pause, node_partition};
+use trestlerack::process::{EntrySettings, failure_backoff, node_partition};
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall, StoreReply};
 use trestlerack_platform as platform;
 
@@ -162,7 +162,7 @@
             Ok(_) => break,
             Err(error) => {
                 failures += 1;
-                node.store.pause_after(error, failures, failure_pause(failures, rand::random())).await;
+                node.store.pause_after(error, failures, failure_backoff(failures, rand::random())).await;
             }
         }
     }
--- a/crates/trestlerackd/src/entry/order_lease.rs
+++ b/crates/trestlerackd/src/entry/order_lease.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use trestlerack::border::StoreError;
 use trestlerack::hash::{hash_parts, rank_among};
-use trestlerack::process::{LeaseKeeper, LeaseRow, LeaseSettings, LeaseStep, rate_pause};
+use trestlerack::process::{LeaseKeeper, LeaseRow, LeaseSettings, LeaseStep, rate_limit_backoff};
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall, StoreReply};
 use trestlerack::{Name, Timestamp, event};
 
@@ -177,7 +177,7 @@
         // A holder goes on trying at the usual pace, because its lease runs out meanwhile.
         Err(StoreError::RateLimited) if !is_renewal => {
             desk.failures += 1;
-            desk.not_before = now + rate_pause(desk.failures, rand::random());
+            desk.not_before = now + rate_limit_backoff(desk.failures, rand::random());
         }
         // The next look decides anew; an applied write shows in the row.
         Err(_) => {}
--- a/crates/trestlerackd/src/entry/plain.rs
+++ b/crates/trestlerackd/src/entry/plain.rs
@@ -217,7 +217,7 @@
     }
     match pick(ServerRoom::Place) {
         Some(ticket) => Ok(ticket),
-        None if room::may_try_again(node, call, AttemptReason::AfterFailure) => pick(ServerRoom::Any).ok_or(None),
+        None if room::may_try_again(node, call, AttemptReason::Retry) => pick(ServerRoom::Any).ok_or(None),
         None => Err(None),
     }
 }
--- a/crates/trestlerackd/src/entry/room/entrance.rs
+++ b/crates/trestlerackd/src/entry/room/entrance.rs
@@ -8,7 +8,7 @@
 use crate::process::{clock, logs};
 use std::sync::Arc;
 use std::time::Duration;
-use trestlerack::process::{AttemptReason, CallKind, CallRank, RoomSettings, ServerRoom, WaitingCall};
+use trestlerack::process::{AdmissionSettings, AttemptReason, CallKind, CallRank, ServerRoom, WaitingCall};
 use trestlerack::version::{Customer, RequestRoute};
 use trestlerack::{Name, Timestamp, event};
 
@@ -44,7 +44,7 @@
             kind: self.kind,
             rank: CallRank::new(self.customer, self.route, is_over_share, self.deadline),
             arrived: self.arrived,
-            objective: (!target.is_zero()).then_some(target),
+            target_latency: (!target.is_zero()).then_some(target),
         }
     }
 }
@@ -63,16 +63,16 @@
         && let Some(ticket) = pick(ServerRoom::Place)
     {
         let now = node.now();
-        node.room.with_queue(call.service, |held| held.queue.passed(now, &waiting_call));
+        node.room.with_queue(call.service, |held| held.queue.record_bypass(now, &waiting_call));
         return Ok(ticket);
     }
     if call.kind == CallKind::Score {
         // A score call is made again soon, and in the queue it would hold up clients.
         return Err(None);
     }
-    let longest_wait = waiting_call.longest_wait(&RoomSettings::default());
+    let longest_wait = waiting_call.max_wait(&AdmissionSettings::default());
     let hold = wait_for_place(node, call.service, waiting_call.clone()).await;
-    let hold = hold.map_err(|refusal| Some(refusal.return_after))?;
+    let hold = hold.map_err(|refusal| Some(refusal.retry_after))?;
     let pick = || pick(ServerRoom::Place).or_else(|| pick(ServerRoom::Any));
     let ticket = pick();
     // Counted at the server by now, so that the next one does not take the same place.
@@ -100,7 +100,7 @@
 
 /// Records that a call came, which pays for a part of a second attempt.
 pub fn note_call(node: &EntryNode, call: &RoomCall<'_>) {
-    node.room.second_attempts.lock().unwrap().call(call.customer_name(), &call.route.name);
+    node.room.second_attempts.lock().unwrap().record_call(call.customer_name(), &call.route.name);
     node.metrics.room.call(call.service);
 }
 
@@ -116,7 +116,7 @@
 pub fn may_try_again(node: &EntryNode, call: &RoomCall<'_>, reason: AttemptReason) -> bool {
     let is_short = node.room.is_short(node.now(), call.service);
     let mut second_attempts = node.room.second_attempts.lock().unwrap();
-    let is_paid = second_attempts.pay(call.customer_name(), &call.route.name, reason, is_short);
+    let is_paid = second_attempts.try_spend(call.customer_name(), &call.route.name, reason, is_short);
     drop(second_attempts);
     if !is_paid {
         node.metrics.room.retry_refused(call.service);
--- a/crates/trestlerackd/src/entry/room/mod.rs
+++ b/crates/trestlerackd/src/entry/room/mod.rs
@@ -22,7 +22,7 @@
 use std::time::Duration;
 use tokio::sync::{Notify, oneshot};
 use trestlerack::process::{
-    AdmissionQueue, CallFate, CallNumber, CallRefusal, RoomSettings, SecondAttempts, ServiceView,
+    AdmissionQueue, AdmissionSettings, CallRefusal, QueuedCallId, SecondAttemptBudget, ServiceLoad, WaitOutcome,
 };
 use trestlerack::{Name, Timestamp};
 
@@ -39,7 +39,7 @@
 /// The calls that wait for one service.
 struct ServiceQueue {
     queue: AdmissionQueue,
-    ends: HashMap<CallNumber, oneshot::Sender<WaitEnd>>,
+    ends: HashMap<QueuedCallId, oneshot::Sender<WaitEnd>>,
     /// Whether a task looks after the queue.
     is_driven: bool,
     /// When that task looks next, unless it is woken.
@@ -51,7 +51,7 @@
 impl ServiceQueue {
     fn new() -> Self {
         Self {
-            queue: AdmissionQueue::new(RoomSettings::default()),
+            queue: AdmissionQueue::new(AdmissionSettings::default()),
             ends: HashMap::new(),
             is_driven: false,
             looks_at: Timestamp::default(),
@@ -73,7 +73,7 @@
     queues: Mutex<HashMap<Name, ServiceQueue>>,
     /// Calls that wait in all queues, so that the end of a request costs nothing while none do.
     waiting: AtomicUsize,
-    second_attempts: Mutex<SecondAttempts>,
+    second_attempts: Mutex<SecondAttemptBudget>,
 }
 
 impl RoomDesk {
@@ -82,12 +82,12 @@
         Self {
             queues: Mutex::default(),
             waiting: AtomicUsize::new(0),
-            second_attempts: Mutex::new(SecondAttempts::new(&RoomSettings::default())),
+            second_attempts: Mutex::new(SecondAttemptBudget::new(&AdmissionSettings::default())),
         }
     }
 
     fn is_short(&self, now: Timestamp, service: &str) -> bool {
-        self.queues().get(service).is_some_and(|held| held.queue.is_short(now))
+        self.queues().get(service).is_some_and(|held| held.queue.is_overloaded(now))
     }
 
     fn is_waited_for(&self, service: &str) -> bool {
@@ -122,23 +122,23 @@
 pub fn note_full(node: &EntryNode, service: &Name) {
     if is_active(node, service) {
         let now = node.now();
-        node.room.with_queue(service, |held| held.queue.note_full(now));
+        node.room.with_queue(service, |held| held.queue.record_full_server(now));
     }
 }
 
 /// Returns what is known of a service. Where all its servers are paused, a place is expected when the
 /// first pause ends.
-fn view(node: &EntryNode, service: &str) -> ServiceView {
+fn view(node: &EntryNode, service: &str) -> ServiceLoad {
     let now = node.now();
     let board = node.board.lock().unwrap();
     let mut estimate = board.wait_estimate(now, service);
-    if estimate.places == 0
+    if estimate.slots == 0
         && let Some(opens_at) = board.opens_at(service)
     {
         estimate.wait = opens_at.since(now);
     }
     let in_flight = board.of_service(service).map(|belief| belief.in_flight).sum();
-    ServiceView { estimate, in_flight }
+    ServiceLoad { estimate, in_flight }
 }
 
 /// Tells that a place of a service may be free.
@@ -168,8 +168,8 @@
     let next_due = node.room.with_queue(service, |held| {
         for fate in held.queue.advance(now, &view) {
             let (number, end) = match fate {
-                CallFate::Go(number) => (number, Ok(())),
-                CallFate::Refuse(number, refusal) => (number, Err(refusal)),
+                WaitOutcome::Admit(number) => (number, Ok(())),
+                WaitOutcome::Refuse(number, refusal) => (number, Err(refusal)),
             };
             ended.extend(held.ends.remove(&number).map(|sender| (sender, end)));
         }
--- a/crates/trestlerackd/src/entry/room/wait.rs
+++ b/crates/trestlerackd/src/entry/room/wait.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 use trestlerack::process::{
-    CallAdmission, CallNumber, CallRefusal, RefusalReason, RoomSettings, WaitEstimate, WaitingCall,
+    AdmissionDecision, AdmissionSettings, CallRefusal, QueuedCallId, RefusalReason, WaitEstimate, WaitingCall,
 };
 use trestlerack::{Name, event};
 
@@ -23,7 +23,7 @@
 
 enum HoldState {
     /// The call waits to be told of its end.
-    Waits(CallNumber, oneshot::Receiver<WaitEnd>),
+    Waits(QueuedCallId, oneshot::Receiver<WaitEnd>),
     /// The call was given a place out of the queue.
     Goes,
     /// The call has nothing to give back.
@@ -35,13 +35,13 @@
         let has_place = match &mut self.state {
             HoldState::Free => false,
             HoldState::Goes => true,
-            HoldState::Waits(number, end) => {
-                leave(&self.node, &self.service, *number);
+            HoldState::Waits(id, end) => {
+                leave(&self.node, &self.service, *id);
                 matches!(end.try_recv(), Ok(Ok(())))
             }
         };
         if has_place {
-            self.node.room.with_queue(&self.service, |held| held.queue.settled());
+            self.node.room.with_queue(&self.service, |held| held.queue.finish_dispatch());
             // Another one may have the place if this call did not take it.
             super::place_freed(&self.node, &self.service);
         }
@@ -49,10 +49,10 @@
 }
 
 /// Takes a call out of the queue if it still waits there.
-fn leave(node: &EntryNode, service: &Name, number: CallNumber) {
+fn leave(node: &EntryNode, service: &Name, id: QueuedCallId) {
     node.room.with_queue(service, |held| {
-        held.queue.leave(number);
-        if held.ends.remove(&number).is_some() {
+        held.queue.remove(id);
+        if held.ends.remove(&id).is_some() {
             node.room.waiting.fetch_sub(1, Ordering::Relaxed);
         }
     });
@@ -70,9 +70,9 @@
     let (admission, length) = node.room.with_queue(service, |held| {
         let length = held.queue.len();
         let admission = held.queue.submit(now, call, &view);
-        if let CallAdmission::Wait { number, .. } = admission {
+        if let AdmissionDecision::Wait { id, .. } = admission {
             let (sender, receiver) = oneshot::channel();
-            held.ends.insert(number, sender);
+            held.ends.insert(id, sender);
             node.room.waiting.fetch_add(1, Ordering::Relaxed);
             ending = Some((receiver, !std::mem::replace(&mut held.is_driven, true)));
         }
@@ -80,14 +80,14 @@
     });
     let hold = |state| PlaceHold { node: node.clone(), service: service.clone(), state };
     match (admission, ending) {
-        (CallAdmission::Refuse(refusal), _) => {
+        (AdmissionDecision::Refuse(refusal), _) => {
             shares::note_short(node, service);
             log_refusal(node, service, &about, refusal, &view.estimate);
             Err(refusal)
         }
-        (CallAdmission::Wait { number, expected }, Some((receiver, is_first))) => {
+        (AdmissionDecision::Wait { id, expected }, Some((receiver, is_first))) => {
             shares::note_short(node, service);
-            let hold = hold(HoldState::Waits(number, receiver));
+            let hold = hold(HoldState::Waits(id, receiver));
             node.metrics.room.queued(service, length);
             log_wait(service, &about, length, expected, &view.estimate);
             if is_first {
@@ -120,10 +120,10 @@
 
 /// Refuses a call for which no server with room will do. Returns when its caller is to come again.
 pub fn refuse_unserved(node: &EntryNode, service: &Name, call: &WaitingCall) -> Duration {
-    let return_after = RoomSettings::default().return_time;
-    let refusal = CallRefusal { reason: RefusalReason::NoServer, return_after };
+    let retry_after = AdmissionSettings::default().default_retry_after;
+    let refusal = CallRefusal { reason: RefusalReason::NoServer, retry_after };
     log_refusal(node, service, call, refusal, &view(node, service).estimate);
-    return_after
+    retry_after
 }
 
 fn log_wait(service: &Name, call: &WaitingCall, length: usize, expected: Duration, estimate: &WaitEstimate) {
@@ -156,11 +156,11 @@
         ("waiting", &length),
         ("expected_ms", &estimate.wait.as_millis()),
         ("age_ms", &age_ms),
-        ("return_ms", &refusal.return_after.as_millis()),
+        ("return_ms", &refusal.retry_after.as_millis()),
     ];
     logs::write(event::CALL_REFUSED, &fields);
 }
 
 fn age_ms(estimate: &WaitEstimate) -> String {
-    estimate.age.map_or_else(|| "none".to_owned(), |age| age.as_millis().to_string())
+    estimate.load_age.map_or_else(|| "none".to_owned(), |age| age.as_millis().to_string())
 }
--- a/crates/trestlerackd/src/entry/run_moves.rs
+++ b/crates/trestlerackd/src/entry/run_moves.rs
@@ -7,7 +7,7 @@
 use std::collections::HashSet;
 use std::sync::Arc;
 use std::time::Duration;
-use trestlerack::process::{LAST_MOVE_SLOWNESS, MOVE_SLOWNESS, RunMove, ServerEntry, ServerNeed};
+use trestlerack::process::{FINAL_MOVE_SLOWNESS, MOVE_SLOWNESS, RunMove, ServerEntry, ServerNeed};
 use trestlerack::request::RunEnd;
 use trestlerack::version::RequestRoute;
 use trestlerack::{Name, event};
@@ -25,12 +25,12 @@
         let ledger = driver.ledger.lock().unwrap();
         let has_waiting = ledger.waiting(now).next().is_some();
         let last = ledger.last_wanted();
-        let is_last = |index: usize| last.contains(&driver.spec.items[index].group);
+        let is_final = |index: usize| last.contains(&driver.spec.items[index].group);
         let mut running: Vec<(usize, Name)> = ledger.running();
-        running.retain(|(index, _)| !has_waiting || ledger.is_long(*index) || is_last(*index));
+        running.retain(|(index, _)| !has_waiting || ledger.is_long(*index) || is_final(*index));
         (running, last)
     };
-    let least = if last.is_empty() { MOVE_SLOWNESS } else { LAST_MOVE_SLOWNESS };
+    let least = if last.is_empty() { MOVE_SLOWNESS } else { FINAL_MOVE_SLOWNESS };
     let slow = slow_engines(node, route, &running, least);
     for (index, engine) in running {
         if !slow.contains(&engine) || suspects::is_suspect(node, driver.fingerprints[index]) {
@@ -68,7 +68,7 @@
     engine: &Name,
     last: &HashSet<Name>,
 ) -> Option<(f64, ServerEntry)> {
-    let (pinned, is_long, events_left) = {
+    let (pinned, is_long, remaining_events) = {
         let ledger = driver.ledger.lock().unwrap();
         (ledger.pinned_version(index), ledger.is_long(index), ledger.events_left(index))
     };
@@ -76,18 +76,18 @@
     let now = node.now();
     let slowness = board.slowness(now, engine);
     let item = &driver.spec.items[index];
-    let is_last = last.contains(&item.group);
+    let is_final = last.contains(&item.group);
     let model = driver.spec.model_of(item);
     let need = job_runs::item_need(node, driver, route, index, model.as_deref())?;
     let avoid = std::slice::from_ref(engine);
-    let need = ServerNeed { pinned, is_long: is_long || is_last, avoid, ..need };
+    let need = ServerNeed { pinned, is_long: is_long || is_final, avoid, ..need };
     let other = board.choose(now, &need)?;
     let run_move = RunMove {
         slowness,
-        other: board.slowness(now, &other.entry.instance),
-        pace: Duration::from_secs_f64(board.typical_pace(now, need.service) / 1_000.0),
-        events_left,
-        is_last,
+        other_slowness: board.slowness(now, &other.entry.instance),
+        event_gap: Duration::from_secs_f64(board.typical_pace(now, need.service) / 1_000.0),
+        remaining_events,
+        is_final,
     };
     run_move.is_worth().then(|| (slowness, other.entry.clone()))
 }
--- a/crates/trestlerackd/src/entry/score_calls.rs
+++ b/crates/trestlerackd/src/entry/score_calls.rs
@@ -172,7 +172,7 @@
         return room::enter(node, call, pick).await.ok();
     }
     let ticket = pick(ServerRoom::Place)?;
-    (is_free || room::may_try_again(node, call, AttemptReason::Beside)).then_some(ticket)
+    (is_free || room::may_try_again(node, call, AttemptReason::Hedge)).then_some(ticket)
 }
 
 fn pick_server(
--- a/crates/trestlerackd/src/entry/second_attempts.rs
+++ b/crates/trestlerackd/src/entry/second_attempts.rs
@@ -11,7 +11,7 @@
 /// none.
 pub fn after(node: &EntryNode, route: &RequestRoute, service: &Name) -> Option<Duration> {
     let target = Duration::from_millis(route.target_latency_ms);
-    node.board.lock().unwrap().second_attempt_after(service, &route.name, target)
+    node.board.lock().unwrap().hedge_delay(service, &route.name, target)
 }
 
 /// Returns whether a call to a server is a trial of one that was set aside.
@@ -21,7 +21,7 @@
 
 /// Returns whether a service has a free place for a second attempt.
 pub fn has_place(node: &EntryNode, service: &str) -> bool {
-    node.board.lock().unwrap().has_room(node.now(), service)
+    node.board.lock().unwrap().has_free_slot(node.now(), service)
 }
 
 /// Logs that a second server was asked.
--- a/crates/trestlerackd/src/entry/server_answers.rs
+++ b/crates/trestlerackd/src/entry/server_answers.rs
@@ -5,7 +5,7 @@
 use crate::process::clock;
 use std::sync::Arc;
 use std::time::Duration;
-use trestlerack::process::{ServerBoard, SuspensionGauge};
+use trestlerack::process::{ServerBoard, SuspensionDetector};
 use trestlerack::{Name, Timestamp};
 
 /// Records how long work takes at a server, as it stated. The first to do so has a node that started ask
@@ -22,22 +22,22 @@
 pub struct AnswerWatch {
     /// When the server was asked.
     pub started: Timestamp,
-    gauge: SuspensionGauge,
+    gauge: SuspensionDetector,
 }
 
 impl AnswerWatch {
     /// Starts to measure.
     pub fn start(node: &EntryNode) -> Self {
-        let mut gauge = SuspensionGauge::default();
+        let mut gauge = SuspensionDetector::default();
         let (since_boot, monotonic) = clock::both_clocks();
-        gauge.read(since_boot, monotonic);
+        gauge.update(since_boot, monotonic);
         Self { started: node.now(), gauge }
     }
 
     /// Returns the time since the start, or `None` if the VM was suspended since.
     fn elapsed(mut self, node: &EntryNode) -> Option<Duration> {
         let (since_boot, monotonic) = clock::both_clocks();
-        let suspended = self.gauge.read(since_boot, monotonic);
+        let suspended = self.gauge.update(since_boot, monotonic);
         suspended.is_none().then(|| node.now().since(self.started))
     }
 }
--- a/crates/trestlerackd/src/entry/store.rs
+++ b/crates/trestlerackd/src/entry/store.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 use trestlerack::border::{Clock, StoreError};
-use trestlerack::process::{DirectWay, WayChange, rate_pause};
+use trestlerack::process::{DirectWay, WayChange, rate_limit_backoff};
 use trestlerack::rows::{RowStore, StoreCall, StoreMoment, StoreReply};
 use trestlerack::{Name, event, time::millis};
 use trestlerack_platform as platform;
@@ -137,7 +137,7 @@
             StoreError::RateLimited => {
                 let is_lost = self.way_lost.notified();
                 // Ends with the pause or with the news; both lead to another try.
-                let _ = clock::timeout(rate_pause(failures, rand::random()), is_lost).await;
+                let _ = clock::timeout(rate_limit_backoff(failures, rand::random()), is_lost).await;
             }
             StoreError::Unavailable | StoreError::Unknown => clock::sleep(pause).await,
         }
--- a/crates/trestlerackd/src/entry/suspects/rows.rs
+++ b/crates/trestlerackd/src/entry/suspects/rows.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use trestlerack::border::StoreError;
-use trestlerack::process::{StrikeNote, SuspectSettings, failure_pause};
+use trestlerack::process::{StrikeNote, SuspectSettings, failure_backoff};
 use trestlerack::request::RequestFingerprint;
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall, StoreReply, StoredRow};
 use trestlerack::time::millis;
@@ -96,7 +96,7 @@
             }
             failures += 1;
             node.suspects.return_unstored(changes);
-            node.store.pause_after(error, failures, failure_pause(failures, rand::random())).await;
+            node.store.pause_after(error, failures, failure_backoff(failures, rand::random())).await;
         }
     }
 }
--- a/crates/trestlerackd/src/entry/urgency.rs
+++ b/crates/trestlerackd/src/entry/urgency.rs
@@ -5,7 +5,7 @@
 use super::{front::ClientRequest, plain};
 use std::time::Duration;
 use trestlerack::Name;
-use trestlerack::process::{CallHistory, ServiceRanks, call_priority, engine_rank};
+use trestlerack::process::{CallHistory, ServicePriorities, call_priority, engine_priority};
 use trestlerack::request::{JobLedger, RunLane};
 use trestlerack::version::{Customer, RequestRoute, RoutingTable};
 
@@ -24,13 +24,13 @@
     let expected = request.head.tokens.map_or(0, |tokens| tokens.output());
     let history = CallHistory {
         // An event has a token at least, so no less is made than this says.
-        made: resume_after.filter(|_| expected > 0).map_or(0.0, |events| events as f64 / expected as f64),
+        generated_fraction: resume_after.filter(|_| expected > 0).map_or(0.0, |events| events as f64 / expected as f64),
         waited: allowed.saturating_sub(left),
-        allowed: Some(allowed),
+        time_limit: Some(allowed),
         ..CallHistory::default()
     };
     let priority = call_priority(request.caller.customer(), route);
-    engine_rank(ServiceRanks::of(&routing, service), priority, &history)
+    engine_priority(ServicePriorities::of(&routing, service), priority, &history)
 }
 
 /// Returns the rank of a run of an item. A second run only saves work of a later job, so it ranks
@@ -44,20 +44,20 @@
     lane: RunLane,
 ) -> Option<u8> {
     let routing = node.routing()?;
-    let ranks = ServiceRanks::of(&routing, service);
+    let ranks = ServicePriorities::of(&routing, service);
     let route = routing.select(&driver.spec.host, &driver.spec.path)?;
     let priority = match lane {
         RunLane::Main => call_priority(customer(&routing, driver.customer.as_ref()), route),
-        RunLane::Spare => return engine_rank(ranks, ranks?.last, &CallHistory::default()),
+        RunLane::Spare => return engine_priority(ranks, ranks?.least_urgent, &CallHistory::default()),
     };
     let limit_ms = if route.give_up_ms > 0 { route.give_up_ms } else { route.due_ms };
     let history = CallHistory {
-        made: ledger.share_made(index),
+        generated_fraction: ledger.share_made(index),
         was_preempted: ledger.was_preempted(index),
         waited: Duration::from_millis(node.store.clock_ms().saturating_sub(driver.accepted_ms)),
-        allowed: (limit_ms > 0).then(|| Duration::from_millis(limit_ms)),
+        time_limit: (limit_ms > 0).then(|| Duration::from_millis(limit_ms)),
     };
-    engine_rank(ranks, priority, &history)
+    engine_priority(ranks, priority, &history)
 }
 
 /// Returns the rank of a score call for a customer's job.
@@ -68,7 +68,7 @@
     customer_name: Option<&Name>,
 ) -> Option<u8> {
     let priority = call_priority(customer(routing, customer_name), route);
-    engine_rank(ServiceRanks::of(routing, service), priority, &CallHistory::default())
+    engine_priority(ServicePriorities::of(routing, service), priority, &CallHistory::default())
 }
 
 fn customer<'a>(routing: &'a RoutingTable, name: Option<&Name>) -> Option<&'a Customer> {
--- a/crates/trestlerackd/src/process/clock.rs
+++ b/crates/trestlerackd/src/process/clock.rs
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 use trestlerack::Timestamp;
 use trestlerack::border::Clock;
-use trestlerack::process::SuspensionGauge;
+use trestlerack::process::SuspensionDetector;
 use trestlerack::time::millis;
 
 /// Interval at which both clocks are compared. A wait that a suspension has ended is noticed so late, and
@@ -66,10 +66,10 @@
 
 /// Looks for suspensions until the process ends, and calls `resumed` with the length of each.
 pub async fn watch_suspensions(resumed: impl Fn(Duration)) {
-    let mut gauge = SuspensionGauge::default();
+    let mut gauge = SuspensionDetector::default();
     loop {
         let (since_boot, monotonic) = both_clocks();
-        if let Some(suspended) = gauge.read(since_boot, monotonic) {
+        if let Some(suspended) = gauge.update(since_boot, monotonic) {
             RESUMPTIONS.send_modify(|count| *count += 1);
             resumed(suspended);
         }
