--- a/crates/trestlerack/src/process/hedging.rs
+++ b/crates/trestlerack/src/process/hedging.rs
@@ -36,9 +36,9 @@
         Some(latest.max(median))
     }
 
-    /// Returns whether a call to a server is a trial, because the server was set aside before. Hedges of trials
-    /// are not charged to the budget: trials are rare, and their callers should not suffer from them.
-    pub fn is_trial(&self, now: Timestamp, instance: &str) -> bool {
+    /// Returns whether a call to a server is a probe, because the server is degraded. Hedges of probes
+    /// are not charged to the budget: probes are rare, and their callers should not suffer from them.
+    pub fn is_probe(&self, now: Timestamp, instance: &str) -> bool {
         self.is_compared(instance) && self.standing(now, instance) != ServerStanding::Well
     }
 
--- a/crates/trestlerack/src/process/resource_limits/memory.rs
+++ b/crates/trestlerack/src/process/resource_limits/memory.rs
@@ -40,7 +40,7 @@
     /// Bodies of incoming requests.
     Bodies,
     /// Responses to clients.
-    Answers,
+    Responses,
     /// Streams relayed to clients.
     Streams,
     /// Specifications and generated texts of the jobs that this node drives.
@@ -54,13 +54,13 @@
 impl MemoryPurpose {
     /// All purposes.
     pub const ALL: [Self; 6] =
-        [Self::Bodies, Self::Answers, Self::Streams, Self::Texts, Self::Peers, Self::Connections];
+        [Self::Bodies, Self::Responses, Self::Streams, Self::Texts, Self::Peers, Self::Connections];
 
     /// Returns the name of the purpose in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Bodies => "bodies",
-            Self::Answers => "answers",
+            Self::Responses => "answers",
             Self::Streams => "streams",
             Self::Texts => "texts",
             Self::Peers => "peers",
--- a/crates/trestlerack/tests/memory_pool.rs
+++ b/crates/trestlerack/tests/memory_pool.rs
@@ -95,7 +95,7 @@
     let mut large: Vec<MemoryReservation> = Vec::new();
     large.extend(std::iter::from_fn(|| pool.try_reserve(MemoryPurpose::Bodies, 1_000_000).ok()));
     assert!((limit / 2 - 1_000_000..=limit / 2).contains(&pool.total()), "new bodies end at half of the limit");
-    large.extend(std::iter::from_fn(|| pool.try_reserve(MemoryPurpose::Answers, 1_000_000).ok()));
+    large.extend(std::iter::from_fn(|| pool.try_reserve(MemoryPurpose::Responses, 1_000_000).ok()));
     assert!(pool.total() <= limit - limit / 8);
     let small: Vec<MemoryReservation> =
         std::iter::from_fn(|| pool.try_reserve(MemoryPurpose::Bodies, SMALL_BYTES).ok()).take(1_000).collect();
--- a/crates/trestlerack/tests/uneven_load.rs
+++ b/crates/trestlerack/tests/uneven_load.rs
@@ -153,7 +153,7 @@
         if let Some(count) = self.sent_to.get_mut((now / 100) as usize) {
             count[server] += 1;
         }
-        if self.boards[node].is_trial(Timestamp(now), &self.server_names[server]) {
+        if self.boards[node].is_probe(Timestamp(now), &self.server_names[server]) {
             self.trials.insert(call);
         }
         self.send(now, server, Attempt { call, node, sent: now });
--- a/crates/trestlerackd/src/entry/held/answers.rs
+++ b/crates/trestlerackd/src/entry/held/answers.rs
@@ -23,7 +23,7 @@
     mut body: Incoming,
     most: usize,
 ) -> Option<(Bytes, MemoryReservation)> {
-    let mut held = node.held.ledger.reserve(MemoryPurpose::Answers, 0);
+    let mut held = node.held.ledger.reserve(MemoryPurpose::Responses, 0);
     let stated = body.size_hint().exact().map_or(0, |length| usize::try_from(length).unwrap_or(usize::MAX));
     if stated > most {
         return None;
--- a/crates/trestlerackd/src/entry/second_attempts.rs
+++ b/crates/trestlerackd/src/entry/second_attempts.rs
@@ -16,7 +16,7 @@
 
 /// Returns whether a call to a server is a trial of one that was set aside.
 pub fn is_trial(node: &EntryNode, server: &str) -> bool {
-    node.board.lock().unwrap().is_trial(node.now(), server)
+    node.board.lock().unwrap().is_probe(node.now(), server)
 }
 
 /// Returns whether a service has a free place for a second attempt.
