--- a/crates/trestlerack/tests/engine_priority.rs
+++ b/crates/trestlerack/tests/engine_priority.rs
@@ -86,7 +86,7 @@
 
 /// A request in the queue of the simulated engine.
 #[derive(Clone, Copy)]
-struct Waiting {
+struct QueuedRequest {
     priority: u8,
     arrived: u64,
     is_less_urgent: bool,
@@ -103,16 +103,16 @@
     const SERVICE_MS: u64 = 40;
     // The engine is already full when the less urgent request arrives.
     let mut running: Vec<u64> = (1..=SLOTS as u64).map(|number| number * SERVICE_MS / SLOTS as u64).collect();
-    let mut queue = vec![Waiting { priority: 0, arrived: 0, is_less_urgent: false }; QUEUE];
+    let mut queue = vec![QueuedRequest { priority: 0, arrived: 0, is_less_urgent: false }; QUEUE];
     for now in 0..time_limit_ms {
         running.retain(|ends| *ends > now);
         if now % 100 == 0 {
             queue.retain(|waiting| !waiting.is_less_urgent);
-            queue.push(Waiting { priority: priority_after(now), arrived: now, is_less_urgent: true });
+            queue.push(QueuedRequest { priority: priority_after(now), arrived: now, is_less_urgent: true });
         }
         // Arrivals at twice the rate at which the engine serves requests.
         if now % 5 == 0 && queue.len() < QUEUE {
-            queue.push(Waiting { priority: 0, arrived: now, is_less_urgent: false });
+            queue.push(QueuedRequest { priority: 0, arrived: now, is_less_urgent: false });
         }
         while running.len() < SLOTS && !queue.is_empty() {
             queue.sort_by_key(|waiting| (waiting.priority, waiting.arrived));
--- a/crates/trestlerack/tests/limits.rs
+++ b/crates/trestlerack/tests/limits.rs
@@ -21,9 +21,9 @@
         let mut admitted = 0;
         for millis in 0..10_000 {
             let node = random.random_range(0..nodes);
-            let answer = limiters[node].admit(Timestamp(millis), &user, limit, nodes);
-            admitted += usize::from(answer.is_ok());
-            if let Err(wait) = answer {
+            let decision = limiters[node].admit(Timestamp(millis), &user, limit, nodes);
+            admitted += usize::from(decision.is_ok());
+            if let Err(wait) = decision {
                 assert!(wait > Duration::ZERO && wait <= Duration::from_secs(1));
             }
         }
--- a/crates/trestlerack/tests/suspensions.rs
+++ b/crates/trestlerack/tests/suspensions.rs
@@ -1,4 +1,4 @@
-//! Suspended VMs: their detection, and its effect on event gaps, leases and the clock clock.
+//! Suspended VMs: their detection, and its effect on event gaps, leases and the wall clock.
 
 use std::time::Duration;
 use trestlerack::Timestamp;
@@ -55,7 +55,7 @@
     assert_eq!(keeper.fence(Timestamp(15_100)), None);
 }
 
-/// Both clocks count a suspension, so it must not be mistaken for a step of the clock clock.
+/// Both clocks count a suspension, so it must not be mistaken for a step of the wall clock.
 #[test]
 fn a_suspension_is_no_step_of_the_wall_clock() {
     let mut clock = StableWallClock::default();
