--- a/crates/trestlerack/src/process/mod.rs
+++ b/crates/trestlerack/src/process/mod.rs
@@ -5,7 +5,6 @@
 mod call_rank;
 mod direct_way;
 mod duty_gate;
-mod end_news;
 mod engine_fleet;
 mod engine_memory;
 mod entry_settings;
@@ -13,13 +12,14 @@
 mod expectation;
 mod feed_log;
 mod held;
+mod job_end_freshness;
 mod job_owner;
 mod lease;
 mod leaving;
 mod levels;
 mod limiter;
+mod load_message;
 mod membership;
-mod news;
 mod node_rows;
 mod outlier;
 mod ownership;
@@ -54,7 +54,6 @@
 pub use call_rank::{CallRank, call_priority};
 pub use direct_way::{DirectWay, WayChange};
 pub use duty_gate::{DutyGate, DutySettings};
-pub use end_news::{EndNews, EndNewsSettings};
 pub use engine_fleet::{EngineFleet, FleetRow, FleetSettings, ScalingTerms, ZoneEngines, ZoneOrder};
 pub use engine_memory::{EngineMemory, SharedPrompt, TokenNeed};
 pub use entry_settings::{ENTRY_FIELDS, EntrySettings, parse_entry_settings};
@@ -65,15 +64,16 @@
     HeldBytes, HeldPurpose, IdleClient, LedgerView, REQUEST_BYTES, ReadPace, ReaderView, SMALL_BYTES, STREAM_BYTES,
     SendPace, SenderView, TakeRefusal, is_pressed, longest_idle, reader_to_cut, run_limit, sender_to_refuse,
 };
+pub use job_end_freshness::{EndNews, EndNewsSettings};
 pub use job_owner::{OwnerCandidate, choose_job_owner, successor_rank};
 pub use lease::{LeaseGrant, LeaseKeeper, LeaseRow, LeaseSettings, LeaseStep};
 pub use leaving::LeavingBoard;
 pub use levels::{LevelNode, ask_order, choose_followers, follower_count};
 pub use limiter::{RetryBudget, UserLimiter};
+pub use load_message::{CustomerUse, NodeNews, ServerNote, ServiceShares};
 pub use membership::{
     Heartbeat, Liveness, MembershipAction, MembershipEvent, MembershipSettings, PeerInfo, PeerMembership, PeerUpdate,
 };
-pub use news::{CustomerUse, NodeNews, ServerNote, ServiceShares};
 pub use node_rows::{NODE_PARTITIONS, NodeRow, NodeRows, is_node_partition, node_partition};
 pub use outlier::{OutlierDetector, OutlierSettings};
 pub use ownership::{ModelOwner, NodeView, OwnerTable, OwnershipView};
--- a/crates/trestlerack/src/process/server_notes.rs
+++ b/crates/trestlerack/src/process/server_notes.rs
@@ -3,7 +3,7 @@
 //! Notes keep the age and the number that they got at their origin, so that none is kept alive by being
 //! passed round; see [docs/design/uneven-load.md](../../../../docs/design/uneven-load.md#parts).
 
-use super::news::ServerNote;
+use super::load_message::ServerNote;
 use super::placement::ServerBoard;
 use super::server_belief::ServerBelief;
 use super::standing::{PeerFigures, SLOW_FACTOR, ServerFigures};
--- a/crates/trestlerack/src/process/shares/adder.rs
+++ b/crates/trestlerack/src/process/shares/aggregator.rs
@@ -1,6 +1,6 @@
 //! Adds up what customers take at all nodes, and works out their shares.
 
-use super::rate::WorkRate;
+use super::work_rate::WorkRate;
 use super::{ShareDemand, ShareSettings, fair_shares};
 use crate::process::{CustomerUse, ServiceShares};
 use crate::time::millis;
--- a/crates/trestlerack/src/process/shares/mod.rs
+++ b/crates/trestlerack/src/process/shares/mod.rs
@@ -5,18 +5,18 @@
 //! ([`ShareAdder`], [`fair_shares`]) and answers with the part of each large customer's calls that is
 //! admitted. See [docs/design/room.md](../../../../../docs/design/room.md).
 
-mod adder;
-mod adder_choice;
-mod book;
-mod fair;
-mod part_gate;
-mod rate;
+mod aggregator;
+mod aggregator_selector;
+mod call_throttle;
+mod fair_shares;
+mod share_limiter;
+mod work_rate;
 
-pub use adder::ShareAdder;
-pub use adder_choice::AdderChoice;
-pub use book::{ShareBook, ShareCall, ShareLine, ShareVerdict};
-pub use fair::{ShareDemand, fair_shares};
-pub use part_gate::PartGate;
+pub use aggregator::ShareAdder;
+pub use aggregator_selector::AdderChoice;
+pub use call_throttle::PartGate;
+pub use fair_shares::{ShareDemand, fair_shares};
+pub use share_limiter::{ShareBook, ShareCall, ShareLine, ShareVerdict};
 
 use crate::process::GossipSettings;
 use std::time::Duration;
--- a/crates/trestlerack/src/process/suspects/mod.rs
+++ b/crates/trestlerack/src/process/suspects/mod.rs
@@ -12,22 +12,22 @@
 //! [docs/PLATFORM.md](../../../../../docs/PLATFORM.md#requests-that-end-servers) has the reasons.
 
 mod gossip;
-mod in_progress;
-mod record;
-mod trials;
+mod runs;
+mod suspect_record;
+mod trial_grants;
 
 use crate::hash::hash_parts;
 use crate::process::ServerEntry;
 use crate::request::RequestFingerprint;
 use crate::{Name, Timestamp};
 pub use gossip::GossipSettings;
-pub use in_progress::SuspectRun;
-use in_progress::SuspectRuns;
-use record::{Strike, SuspectRecord};
+pub use runs::SuspectRun;
+use runs::SuspectRuns;
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
-pub use trials::TrialBook;
+use suspect_record::{Strike, SuspectRecord};
+pub use trial_grants::TrialBook;
 
 /// Settings of a [`SuspectBook`].
 #[derive(Clone, Debug)]
--- a/crates/trestlerack/tests/shares_nodes.rs
+++ b/crates/trestlerack/tests/shares_nodes.rs
@@ -1,9 +1,9 @@
 //! Shares of customers of a service with too little room, over many nodes.
 
-#[path = "support/share_nodes.rs"]
-mod share_nodes;
+#[path = "support/share_simulation.rs"]
+mod share_simulation;
 
-use share_nodes::*;
+use share_simulation::*;
 
 /// Calls that the servers serve each second.
 const ROOM: f64 = 1_500.0;
