--- a/crates/trestlerack/src/connection/frame.rs
+++ b/crates/trestlerack/src/connection/frame.rs
@@ -1,6 +1,6 @@
 //! The frames that two daemons exchange over a node link, encoded as CBOR by the shell.
 
-use crate::process::{GroupSpec, Heartbeat, StrikeNote};
+use crate::process::{CrashReport, GroupSpec, Heartbeat};
 use crate::request::{RequestContent, RequestFingerprint};
 use crate::version::{ConfigDelta, Configuration, WeightTarget, WeightVersion};
 use crate::{Failure, Name, PlaceSet};
@@ -135,7 +135,7 @@
         backends: Vec<BackendNews>,
         /// Contents under which backend servers ended.
         #[serde(default)]
-        strikes: Vec<StrikeNote>,
+        strikes: Vec<CrashReport>,
     },
     /// The answer to a probe.
     ProbeAnswer {
@@ -149,7 +149,7 @@
         backends: Vec<BackendNews>,
         /// Contents under which backend servers ended.
         #[serde(default)]
-        strikes: Vec<StrikeNote>,
+        strikes: Vec<CrashReport>,
     },
     /// Asks for the configuration after a generation.
     ConfigFetch {
--- a/crates/trestlerack/src/process/job_end_freshness.rs
+++ b/crates/trestlerack/src/process/job_end_freshness.rs
@@ -3,15 +3,15 @@
 use crate::Timestamp;
 use std::time::Duration;
 
-/// Settings of an [`EndNews`].
+/// Settings of an [`JobEndFreshness`].
 #[derive(Clone, Debug)]
-pub struct EndNewsSettings {
+pub struct JobEndFreshnessSettings {
     /// Age of the news from which no run and no score call is started. The users allow three seconds from
     /// the acknowledgement of an end; the rest is for connecting to a server.
     pub longest_age: Duration,
 }
 
-impl Default for EndNewsSettings {
+impl Default for JobEndFreshnessSettings {
     fn default() -> Self {
         Self { longest_age: Duration::from_secs(2) }
     }
@@ -23,17 +23,17 @@
 /// meanwhile. News that was looked for and is not there shows that the store or the way to it is down, which
 /// no node can tell from an end; work goes on then, since no end is acknowledged.
 #[derive(Clone, Debug, Default)]
-pub struct EndNews {
-    settings: EndNewsSettings,
+pub struct JobEndFreshness {
+    settings: JobEndFreshnessSettings,
     /// When the question was sent whose answer was taken in last.
     asked_at: Option<Timestamp>,
     /// Whether the last question had no answer.
     is_out: bool,
 }
 
-impl EndNews {
+impl JobEndFreshness {
     /// Builds a record without news.
-    pub fn new(settings: EndNewsSettings) -> Self {
+    pub fn new(settings: JobEndFreshnessSettings) -> Self {
         Self { settings, ..Self::default() }
     }
 
--- a/crates/trestlerack/src/process/load_message.rs
+++ b/crates/trestlerack/src/process/load_message.rs
@@ -1,94 +1,94 @@
-//! What nodes tell each other of load: use by customers, their shares, and servers.
+//! Messages in which nodes exchange load: usage by customers, their shares and observations of servers.
 //!
-//! One message carries all of it, both ways, so that a node needs one question for everything. The
-//! names of customers are in it and their keys never are. Fields that are sent for each customer are named by
-//! one letter there: a message is mostly of these.
+//! Requests and answers share one format, so that one request covers everything. It contains the names of
+//! customers, never their keys. Fields that are repeated for each customer have one-letter names on the wire
+//! because they make up most of a message.
 
 use crate::Name;
 use serde::{Deserialize, Serialize};
 
-/// A message of a node, and the answer to one.
+/// A load message or the answer to one.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct NodeNews {
-    /// Name of the node that tells.
+pub struct LoadMessage {
+    /// Name of the sending node.
     pub sender: Name,
-    /// What customers took at the sender.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub uses: Vec<CustomerUse>,
-    /// Shares that the sender worked out.
+    /// Usage of customers at the sender.
+    #[serde(rename = "uses", default, skip_serializing_if = "Vec::is_empty")]
+    pub usage: Vec<CustomerUsage>,
+    /// Shares that the sender computed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub shares: Vec<ServiceShares>,
-    /// What is known of servers.
+    /// Observations of servers.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub servers: Vec<ServerNote>,
+    pub servers: Vec<ServerObservation>,
 }
 
-impl NodeNews {
-    /// Returns whether there is nothing to tell.
+impl LoadMessage {
+    /// Returns whether the message has no content.
     pub fn is_empty(&self) -> bool {
-        self.uses.is_empty() && self.shares.is_empty() && self.servers.is_empty()
+        self.usage.is_empty() && self.shares.is_empty() && self.servers.is_empty()
     }
 }
 
-/// What a customer took of a service at one node since its counts began.
+/// Usage of a service by one customer at one node since its counts started.
 ///
-/// Counts of one incarnation only grow, so a message that is lost or comes twice does no harm.
+/// Counts of one incarnation only grow, so a lost or duplicate message does no harm.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct CustomerUse {
+pub struct CustomerUsage {
     /// Service.
     #[serde(rename = "s")]
     pub service: Name,
-    /// Customer; empty for calls of nobody in particular.
+    /// Customer; empty for calls without a customer.
     #[serde(rename = "c")]
     pub customer: Name,
     /// Weight of the customer's share.
     #[serde(rename = "w")]
     pub weight: u32,
-    /// When the counts began; a later one begins them anew.
+    /// Start of the counts, in milliseconds; a later one replaces all counts of earlier ones.
     #[serde(rename = "i")]
     pub incarnation: u64,
-    /// Milliseconds of work asked for.
+    /// Milliseconds of work requested.
     #[serde(rename = "a")]
-    pub asked_ms: u64,
-    /// Milliseconds of work that servers did.
+    pub requested_ms: u64,
+    /// Milliseconds of work served.
     #[serde(rename = "g")]
-    pub given_ms: u64,
+    pub served_ms: u64,
 }
 
-/// Shares of one service, as its adder last worked them out.
+/// Shares of one service as its aggregator last computed them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceShares {
     /// Service.
     #[serde(rename = "s")]
     pub service: Name,
-    /// Customers that ask for more than their share, with the part of their calls to admit, above 0
-    /// and below 1. All others are admitted whole.
+    /// Customers over their share, with the fraction of their calls to admit, above 0 and below 1. Calls of all other
+    /// customers are admitted.
     #[serde(rename = "p")]
-    pub parts: Vec<(Name, f32)>,
-    /// Time since the shares were worked out, in milliseconds.
+    pub fractions: Vec<(Name, f32)>,
+    /// Time since the shares were computed, in milliseconds.
     #[serde(rename = "t")]
     pub age_ms: u64,
-    /// Rate of work asked for that the shares are worked out from, summed over the nodes that report to the
-    /// adder, in milliseconds a second.
+    /// Rate of requested work from which the shares were computed, summed over the nodes that report to the
+    /// aggregator, in milliseconds a second.
     #[serde(rename = "u", default)]
-    pub asked_ms_per_second: u64,
+    pub requested_ms_per_second: u64,
 }
 
-/// What a node knows of a server.
+/// Performance of a server as one node measured it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ServerNote {
+pub struct ServerObservation {
     /// Instance of the server.
     pub instance: Name,
-    /// Start of the server, as service discovery states it.
+    /// Start of the server according to service discovery.
     pub started_ms: u64,
-    /// Name of the node that saw it.
+    /// Name of the node that measured it.
     pub origin: Name,
-    /// Number of the note at its origin, which grows.
+    /// Sequence number of the observation at its origin.
     pub number: u64,
-    /// How many times longer than usual its answers take.
+    /// Response time relative to the usual one.
     pub slowness: f32,
-    /// Share of the recent answers that failed, from 0 to 1.
+    /// Fraction of the recent answers that failed, from 0 to 1.
     pub failing: f32,
-    /// Time since the origin saw this, in milliseconds; grows as the note is passed on.
+    /// Time since the origin measured this, in milliseconds; grows as the observation is forwarded.
     pub age_ms: u64,
 }
--- a/crates/trestlerack/src/process/mod.rs
+++ b/crates/trestlerack/src/process/mod.rs
@@ -64,13 +64,13 @@
     HeldBytes, HeldPurpose, IdleClient, LedgerView, REQUEST_BYTES, ReadPace, ReaderView, SMALL_BYTES, STREAM_BYTES,
     SendPace, SenderView, TakeRefusal, is_pressed, longest_idle, reader_to_cut, run_limit, sender_to_refuse,
 };
-pub use job_end_freshness::{EndNews, EndNewsSettings};
+pub use job_end_freshness::{JobEndFreshness, JobEndFreshnessSettings};
 pub use job_owner::{OwnerCandidate, choose_job_owner, successor_rank};
 pub use lease::{LeaseGrant, LeaseKeeper, LeaseRow, LeaseSettings, LeaseStep};
 pub use leaving::LeavingBoard;
 pub use levels::{LevelNode, ask_order, choose_followers, follower_count};
 pub use limiter::{RetryBudget, UserLimiter};
-pub use load_message::{CustomerUse, NodeNews, ServerNote, ServiceShares};
+pub use load_message::{CustomerUsage, LoadMessage, ServerObservation, ServiceShares};
 pub use membership::{
     Heartbeat, Liveness, MembershipAction, MembershipEvent, MembershipSettings, PeerInfo, PeerMembership, PeerUpdate,
 };
@@ -93,8 +93,8 @@
 pub use server_subset::ServerCounts;
 pub use settings::{DaemonSettings, SETTINGS_FIELDS, parse_settings};
 pub use shares::{
-    AdderChoice, PartGate, ShareAdder, ShareBook, ShareCall, ShareDemand, ShareLine, ShareSettings, ShareVerdict,
-    fair_shares,
+    AggregatorSelector, CallThrottle, CountedCall, ShareAggregator, ShareDecision, ShareDemand, ShareLimiter,
+    ShareSettings, ShareStatus, fair_shares,
 };
 pub use spool::{SampleSpool, SpoolSettings};
 pub use standing::{ServerFigures, ServerStanding};
@@ -105,8 +105,8 @@
 };
 pub use step_store::{MadeGroup, ManifestCache, Opened, Recorded, StepLook, StepStore};
 pub use suspects::{
-    GossipSettings, NEWS_LAG, StrikeNote, SuspectBook, SuspectLine, SuspectRun, SuspectSettings, SuspectStanding,
-    TrialBook, server_start,
+    CrashReport, DISCOVERY_LAG, GossipSettings, SuspectRun, SuspectSettings, SuspectState, SuspectStatus,
+    SuspectTracker, TrialGrants, server_start,
 };
 pub use suspension::SuspensionGauge;
 pub use urgency::{CallHistory, ServiceRanks, engine_rank, shows_preemption};
--- a/crates/trestlerack/src/process/server_notes.rs
+++ b/crates/trestlerack/src/process/server_notes.rs
@@ -3,7 +3,7 @@
 //! Notes keep the age and the number that they got at their origin, so that none is kept alive by being
 //! passed round; see [docs/design/uneven-load.md](../../../../docs/design/uneven-load.md#parts).
 
-use super::load_message::ServerNote;
+use super::load_message::ServerObservation;
 use super::placement::ServerBoard;
 use super::server_belief::ServerBelief;
 use super::standing::{PeerFigures, SLOW_FACTOR, ServerFigures};
@@ -40,7 +40,7 @@
 
 /// Returns the settings of the gossip about servers.
 pub fn server_gossip() -> GossipSettings {
-    GossipSettings { told_at_once: TOLD_AT_ONCE, ..GossipSettings::default() }
+    GossipSettings { fanout: TOLD_AT_ONCE, ..GossipSettings::default() }
 }
 
 /// What peers told of a server.
@@ -133,7 +133,7 @@
 
     /// Takes what `origin`, the node of this board, may tell its peers now. What is left is told later,
     /// while it is young.
-    pub fn take_notes(&mut self, now: Timestamp, origin: &Name) -> Vec<ServerNote> {
+    pub fn take_notes(&mut self, now: Timestamp, origin: &Name) -> Vec<ServerObservation> {
         self.outbox.refill(now);
         let mut taken = Vec::new();
         while self.outbox.allowance >= 1.0 {
@@ -153,7 +153,7 @@
     }
 
     /// Returns what a peer that starts is told: what is known of servers that are slow or fail.
-    pub fn known_notes(&mut self, now: Timestamp, origin: &Name) -> Vec<ServerNote> {
+    pub fn known_notes(&mut self, now: Timestamp, origin: &Name) -> Vec<ServerObservation> {
         let mut notes = Vec::new();
         for belief in self.servers.values() {
             let (figures, seen_at) = match belief.word_of_others(now) {
@@ -174,7 +174,7 @@
     }
 
     /// Takes over what a peer told. Returns whether that is news to this node, which then passes it on.
-    pub fn learn_note(&mut self, now: Timestamp, own_name: &Name, note: &ServerNote) -> bool {
+    pub fn learn_note(&mut self, now: Timestamp, own_name: &Name, note: &ServerObservation) -> bool {
         let age = Duration::from_millis(note.age_ms).saturating_add(MESSAGE_TIME);
         let Some(belief) = self.servers.get_mut(&note.instance) else { return false };
         let is_known = belief.word.heard.get(&note.origin).is_some_and(|(number, _)| *number >= note.number);
@@ -266,8 +266,8 @@
     number: u64,
     figures: ServerFigures,
     at: Timestamp,
-) -> ServerNote {
-    ServerNote {
+) -> ServerObservation {
+    ServerObservation {
         instance: belief.entry.instance.clone(),
         started_ms: belief.entry.started_ms,
         origin,
@@ -278,7 +278,7 @@
     }
 }
 
-impl ServerNote {
+impl ServerObservation {
     /// Returns what the note says, or `None` if it holds no proper figures.
     fn figures(&self) -> Option<ServerFigures> {
         let (slowness, failing) = (f64::from(self.slowness), f64::from(self.failing));
--- a/crates/trestlerack/src/process/shares/mod.rs
+++ b/crates/trestlerack/src/process/shares/mod.rs
@@ -1,9 +1,11 @@
-//! Shares of customers in services that have too little room, alike at all nodes.
+//! Fair shares of an overloaded service for its customers, enforced consistently by all nodes.
 //!
-//! Each node counts what its customers ask for and are given ([`ShareBook`]). While a service is short,
-//! nodes tell one of them, the adder of that service, which works out max-min fair shares
-//! ([`ShareAdder`], [`fair_shares`]) and answers with the part of each large customer's calls that is
-//! admitted. See [docs/design/room.md](../../../../../docs/design/room.md).
+//! Each node counts the work that its customers request and receive ([`ShareLimiter`]). While a service is
+//! overloaded, nodes report these counts to one of them, the aggregator of that service. It computes max-min fair
+//! shares ([`ShareAggregator`], [`fair_shares()`]) and answers with the fraction of calls to admit for each customer
+//! over its share. A service is overloaded when calls were recently refused or queued because no server had a free
+//! slot.
+//! See [docs/design/room.md](../../../../../docs/design/room.md).
 
 mod aggregator;
 mod aggregator_selector;
@@ -12,52 +14,54 @@
 mod share_limiter;
 mod work_rate;
 
-pub use aggregator::ShareAdder;
-pub use aggregator_selector::AdderChoice;
-pub use call_throttle::PartGate;
+pub use aggregator::ShareAggregator;
+pub use aggregator_selector::AggregatorSelector;
+pub use call_throttle::CallThrottle;
 pub use fair_shares::{ShareDemand, fair_shares};
-pub use share_limiter::{ShareBook, ShareCall, ShareLine, ShareVerdict};
+pub use share_limiter::{CountedCall, ShareDecision, ShareLimiter, ShareStatus};
 
 use crate::process::GossipSettings;
 use std::time::Duration;
 
-/// Settings of shares.
+/// Settings of fair shares.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShareSettings {
-    /// Interval at which nodes tell and shares are made anew.
+    /// Interval at which nodes report usage and shares are recomputed.
     pub period: Duration,
-    /// Time for which an answer of the adder is believed.
-    pub life: Duration,
-    /// Time after the last call that was refused or waited for which a service counts as short. At many
-    /// nodes each sees few calls, so it has to outlast the pause between two of them.
-    pub short_memory: Duration,
-    /// Time that the adder listens to nodes before it works out the first shares: until then it has heard
-    /// of refused calls more than of served ones.
-    pub listen: Duration,
-    /// Calls of which it has to have heard by then.
-    pub least_heard: u32,
-    /// Least time between two answers for the same service that a node passes on.
-    pub pass_interval: Duration,
-    /// Part by which the room is taken to be larger than what was given at least, so that it can show
-    /// whether there is more.
-    pub least_growth: f64,
-    /// The same at most, which it reaches in steps while all that is admitted is served; also the most by
-    /// which the room shrinks in a period.
-    pub most_growth: f64,
-    /// Part of the work asked for that may be missing before a service counts as short at the adder: calls
-    /// that are at work are asked for and not given yet.
-    pub missing: f64,
-    /// Part of a customer's calls from which on all of them are admitted: what is asked for is measured no
-    /// better than that, and a customer at its share is not to go behind the others.
-    pub whole_part: f32,
-    /// Part below which no customer's part is set, so that some of its calls show what it would get.
-    pub least_part: f32,
+    /// How long shares from an aggregator are valid.
+    pub shares_ttl: Duration,
+    /// How long a service counts as overloaded after its last refused or queued call. With many nodes each one sees
+    /// few calls, so this must exceed the time between two of them.
+    pub overload_hold: Duration,
+    /// How long a new aggregator collects reports before it computes the first shares. Until then refused calls are
+    /// overrepresented among the reported ones.
+    pub warmup: Duration,
+    /// Minimum number of usage updates before the first shares are computed.
+    pub min_warmup_updates: u32,
+    /// Minimum interval between two shares of the same service that a node forwards to peers.
+    pub forward_interval: Duration,
+    /// Minimum fraction by which the estimated capacity exceeds the served work. It lets an increase of capacity be
+    /// noticed.
+    pub min_headroom: f64,
+    /// Maximum of the same fraction, reached step by step while all admitted work is served. Also the maximum
+    /// fraction by which the estimate decreases in a period.
+    pub max_headroom: f64,
+    /// Fraction of the requested work that may be unserved before the aggregator considers a service overloaded.
+    /// Calls in progress are requested and not served yet.
+    pub unserved_tolerance: f64,
+    /// A customer whose fraction would be at least this high is not limited. Demand is not measured more precisely,
+    /// and customers that just reach their share must not be queued behind others.
+    pub full_admission_fraction: f32,
+    /// Minimum fraction of calls admitted for any customer, so that some of its calls show how much it would be
+    /// served.
+    pub min_fraction: f32,
 }
 
 impl ShareSettings {
-    /// Returns how answers of adders are passed on: each second anew, so that two peers at once are enough.
+    /// Returns the gossip settings for forwarding shares. They are forwarded anew each second, so two peers at a time
+    /// are enough.
     pub fn gossip(&self) -> GossipSettings {
-        GossipSettings { told_at_once: 2, ..GossipSettings::default() }
+        GossipSettings { fanout: 2, ..GossipSettings::default() }
     }
 }
 
@@ -65,16 +69,16 @@
     fn default() -> Self {
         Self {
             period: Duration::from_millis(250),
-            life: Duration::from_secs(2),
-            short_memory: Duration::from_secs(5),
-            listen: Duration::from_millis(500),
-            least_heard: 60,
-            pass_interval: Duration::from_secs(1),
-            least_growth: 0.01,
-            most_growth: 0.1,
-            missing: 0.03,
-            whole_part: 0.95,
-            least_part: 0.001,
+            shares_ttl: Duration::from_secs(2),
+            overload_hold: Duration::from_secs(5),
+            warmup: Duration::from_millis(500),
+            min_warmup_updates: 60,
+            forward_interval: Duration::from_secs(1),
+            min_headroom: 0.01,
+            max_headroom: 0.1,
+            unserved_tolerance: 0.03,
+            full_admission_fraction: 0.95,
+            min_fraction: 0.001,
         }
     }
 }
--- a/crates/trestlerack/src/process/shares/share_limiter.rs
+++ b/crates/trestlerack/src/process/shares/share_limiter.rs
@@ -1,86 +1,86 @@
-//! What customers ask for and are given at one node, and which of their calls it admits.
+//! Counts the work of customers at one node and admits calls according to their shares.
 
-use super::{PartGate, ShareSettings};
-use crate::process::{CustomerUse, ServiceShares};
+use super::{CallThrottle, ShareSettings};
+use crate::process::{CustomerUsage, ServiceShares};
 use crate::time::millis;
 use crate::{Name, Timestamp};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Work of a call of a service none of whose calls has ended yet.
-const FIRST_WORK: Duration = Duration::from_millis(20);
+/// Assumed work of a call until a call of the service has completed.
+const DEFAULT_CALL_WORK: Duration = Duration::from_millis(20);
 
-/// Weight of the newest call in the mean work of a service.
-const WORK_WEIGHT: f64 = 0.1;
+/// Weight of the newest call in the mean work of a service's calls.
+const CALL_WORK_WEIGHT: f64 = 0.1;
 
-/// Longest time after which a customer over its share is told to return.
-const LONGEST_RETURN: Duration = Duration::from_secs(2);
+/// Maximum retry delay returned to a customer over its share.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Age from which an answer can be replaced by one worked out from less than half as much work. Below the default
-/// [`ShareSettings::life`], so that the replacement can take effect before the answer expires.
-const PARTIAL_ANSWER_DELAY: Duration = Duration::from_millis(1_500);
+/// Age from which shares may be replaced by ones that cover less than half as much work. Below the default
+/// [`ShareSettings::shares_ttl`], so that the replacement takes effect before the old shares expire.
+const PARTIAL_SHARES_DELAY: Duration = Duration::from_millis(1_500);
 
-/// A call that was counted.
+/// A call whose work was counted as requested.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ShareCall {
+pub struct CountedCall {
     /// Service.
     pub service: Name,
-    /// Customer; empty for nobody in particular.
+    /// Customer; empty for calls without a customer.
     pub customer: Name,
-    /// Milliseconds of work that it counts for.
+    /// Counted work of the call, in milliseconds.
     pub work_ms: u64,
 }
 
 /// Whether a call is admitted.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ShareVerdict {
-    /// It is.
-    Admitted(ShareCall),
-    /// Its customer is over its share, and may return after so long.
+pub enum ShareDecision {
+    /// The call is admitted.
+    Admitted(CountedCall),
+    /// The customer is over its share and may retry after this time.
     OverShare(Duration),
 }
 
-/// What a customer takes of a service here, as operators are told.
+/// Usage of a service by a customer at this node, for the status pages.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ShareLine {
+pub struct ShareStatus {
     /// Service.
     pub service: Name,
     /// Customer.
     pub customer: Name,
-    /// Milliseconds of work that it asked for here.
-    pub asked_ms: u64,
-    /// Milliseconds of work that it was given here.
-    pub given_ms: u64,
-    /// Part of its calls that is admitted; `None` for all.
-    pub part: Option<f32>,
+    /// Milliseconds of work requested at this node.
+    pub requested_ms: u64,
+    /// Milliseconds of work served at this node.
+    pub served_ms: u64,
+    /// Fraction of the customer's calls that is admitted; `None` if all are.
+    pub fraction: Option<f32>,
 }
 
-/// Work of a customer, in milliseconds.
+/// Cumulative work of a customer, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct WorkCount {
-    asked: u64,
-    given: u64,
+struct WorkTotals {
+    requested: u64,
+    served: u64,
 }
 
 #[derive(Clone, Debug, Default)]
 struct CustomerCount {
     weight: u32,
-    work: WorkCount,
-    /// When the counts that the adder is told begin.
-    began_at: Timestamp,
-    /// Counts as of then.
-    base: WorkCount,
-    /// Counts as an adder last took them.
-    told: WorkCount,
+    total: WorkTotals,
+    /// Start of the counts reported to the aggregator.
+    reset_at: Timestamp,
+    /// Totals at that start.
+    baseline: WorkTotals,
+    /// Totals as an aggregator last acknowledged them.
+    acknowledged: WorkTotals,
 }
 
 impl CustomerCount {
     fn new(now: Timestamp) -> Self {
-        Self { began_at: now, ..Self::default() }
+        Self { reset_at: now, ..Self::default() }
     }
 
-    fn begin(&mut self, now: Timestamp, base: WorkCount) {
-        (self.began_at, self.base, self.told) = (now, base, base);
+    fn reset(&mut self, now: Timestamp, baseline: WorkTotals) {
+        (self.reset_at, self.baseline, self.acknowledged) = (now, baseline, baseline);
     }
 }
 
@@ -88,260 +88,264 @@
 struct ServiceCounts {
     customers: BTreeMap<Name, CustomerCount>,
     /// Mean work of a call, in milliseconds; 0 while unknown.
-    work_ms: f64,
-    short_at: Option<Timestamp>,
-    /// Node that adds up, as far as it was told.
-    adder: Option<Name>,
-    /// Whether it knows that the service is short.
-    is_told: bool,
-    gates: BTreeMap<Name, PartGate>,
-    /// When the parts were worked out.
-    learnt_at: Option<Timestamp>,
-    /// Rate of work asked for that the parts were worked out from, in milliseconds a second.
-    learnt_asked_ms_per_second: u64,
-    /// When the parts were worked out that were passed on last.
-    passed_at: Option<Timestamp>,
+    mean_work_ms: f64,
+    overloaded_at: Option<Timestamp>,
+    /// Node that usage was last reported to.
+    aggregator: Option<Name>,
+    /// Whether the aggregator knows that the service is overloaded.
+    is_reported: bool,
+    throttles: BTreeMap<Name, CallThrottle>,
+    /// When the fractions in force were computed.
+    computed_at: Option<Timestamp>,
+    /// Rate of requested work from which the fractions were computed, in milliseconds a second.
+    covered_ms_per_second: u64,
+    /// When the fractions last forwarded to peers were computed.
+    forwarded_at: Option<Timestamp>,
 }
 
 impl ServiceCounts {
-    fn is_short(&self, now: Timestamp, settings: &ShareSettings) -> bool {
-        self.short_at.is_some_and(|at| now.since(at) <= settings.short_memory)
+    fn is_overloaded(&self, now: Timestamp, settings: &ShareSettings) -> bool {
+        self.overloaded_at.is_some_and(|at| now.since(at) <= settings.overload_hold)
     }
 
-    /// Records that the service was short at a time.
-    fn turn_short(&mut self, now: Timestamp, at: Timestamp, settings: &ShareSettings) {
-        if !self.is_short(now, settings) {
-            // Calls of before are known of nodes only that had one refused, so they show too little room.
-            self.begin(now);
+    /// Records that the service was overloaded at a given time.
+    fn mark_overloaded(&mut self, now: Timestamp, at: Timestamp, settings: &ShareSettings) {
+        if !self.is_overloaded(now, settings) {
+            // Earlier calls are reported only by nodes that had one refused, so they would understate capacity.
+            self.reset(now);
         }
-        self.short_at = self.short_at.max(Some(at));
+        self.overloaded_at = self.overloaded_at.max(Some(at));
     }
 
-    /// Begins the counts for the adder anew.
-    fn begin(&mut self, now: Timestamp) {
-        self.customers.values_mut().for_each(|count| count.begin(now, count.work));
-        self.is_told = false;
+    /// Restarts the counts reported to the aggregator.
+    fn reset(&mut self, now: Timestamp) {
+        self.customers.values_mut().for_each(|count| count.reset(now, count.total));
+        self.is_reported = false;
     }
 
-    fn has_news(&self, now: Timestamp, settings: &ShareSettings) -> bool {
-        self.learnt_at.is_some_and(|at| now.since(at) <= settings.life)
+    fn has_valid_shares(&self, now: Timestamp, settings: &ShareSettings) -> bool {
+        self.computed_at.is_some_and(|at| now.since(at) <= settings.shares_ttl)
     }
 
-    /// Returns whether an answer is worked out from less than half as much work as the one in force, while that is
-    /// recent. Guards against replacing it by the answer of an adder that only a few nodes report to.
+    /// Returns whether shares cover less than half as much work as the ones in force, while those are recent.
+    /// Prevents the answer of an aggregator that only a few nodes report to from replacing them.
     fn is_partial(&self, now: Timestamp, shares: &ServiceShares) -> bool {
-        let is_recent = self.learnt_at.is_some_and(|at| now.since(at) < PARTIAL_ANSWER_DELAY);
-        is_recent && shares.asked_ms_per_second * 2 < self.learnt_asked_ms_per_second
+        let is_recent = self.computed_at.is_some_and(|at| now.since(at) < PARTIAL_SHARES_DELAY);
+        is_recent && shares.requested_ms_per_second * 2 < self.covered_ms_per_second
     }
 
-    fn call_work(&self) -> u64 {
-        if self.work_ms > 0.0 { self.work_ms.round().max(1.0) as u64 } else { millis(FIRST_WORK) }
+    fn work_per_call(&self) -> u64 {
+        if self.mean_work_ms > 0.0 { self.mean_work_ms.round().max(1.0) as u64 } else { millis(DEFAULT_CALL_WORK) }
     }
 }
 
-/// Counts the use of customers at one node, and admits their calls by what the adders answered.
+/// Counts the usage of customers at one node and limits those over their share, as computed by the aggregators.
 #[derive(Clone, Debug)]
-pub struct ShareBook {
+pub struct ShareLimiter {
     settings: ShareSettings,
     node: Name,
-    /// Added to the start of counts, so that those of a later process on the same VM begin later.
+    /// Start of this process. Added to the start of counts, so that counts of a later process on the same VM have a
+    /// later incarnation.
     started_ms: u64,
     services: BTreeMap<Name, ServiceCounts>,
 }
 
-impl ShareBook {
-    /// Builds the book of a node that started at a time of day, in milliseconds.
+impl ShareLimiter {
+    /// Creates the limiter of a node that started at the given time, in milliseconds since the Unix epoch.
     pub fn new(settings: ShareSettings, node: Name, started_ms: u64) -> Self {
         Self { settings, node, started_ms, services: BTreeMap::new() }
     }
 
-    /// Counts a call that a customer asks for, and decides whether it is admitted.
-    pub fn ask(&mut self, now: Timestamp, service: &Name, customer: &Name, weight: u32) -> ShareVerdict {
+    /// Counts a requested call and decides whether it is admitted.
+    pub fn admit(&mut self, now: Timestamp, service: &Name, customer: &Name, weight: u32) -> ShareDecision {
         let call = self.count(now, service, customer, weight);
         let settings = self.settings;
         let counts = self.service(service);
-        let is_believed = counts.has_news(now, &settings);
-        let gate = counts.gates.get_mut(customer).filter(|_| is_believed);
-        let refused_part = gate.and_then(|gate| (!gate.admit()).then(|| gate.part()));
-        let Some(part) = refused_part else { return ShareVerdict::Admitted(call) };
-        counts.turn_short(now, now, &settings);
-        // Sooner, more of its calls would be refused than admitted.
-        ShareVerdict::OverShare(settings.period.mul_f32(1.0 / part).min(LONGEST_RETURN))
+        let is_valid = counts.has_valid_shares(now, &settings);
+        let throttle = counts.throttles.get_mut(customer).filter(|_| is_valid);
+        let refused_fraction = throttle.and_then(|throttle| (!throttle.admit()).then(|| throttle.fraction()));
+        let Some(fraction) = refused_fraction else { return ShareDecision::Admitted(call) };
+        counts.mark_overloaded(now, now, &settings);
+        // An earlier retry would more likely be refused than admitted.
+        ShareDecision::OverShare(settings.period.mul_f32(1.0 / fraction).min(MAX_RETRY_AFTER))
     }
 
-    /// Counts a call that a customer asks for and that is not refused any more, as those of accepted jobs
-    /// are not.
-    pub fn count(&mut self, now: Timestamp, service: &Name, customer: &Name, weight: u32) -> ShareCall {
+    /// Counts a requested call that can no longer be refused, such as a call of an accepted job.
+    pub fn count(&mut self, now: Timestamp, service: &Name, customer: &Name, weight: u32) -> CountedCall {
         let counts = self.service(service);
-        let work_ms = counts.call_work();
+        let work_ms = counts.work_per_call();
         let count = counts.customers.entry(customer.clone()).or_insert_with(|| CustomerCount::new(now));
         count.weight = weight;
-        count.work.asked += work_ms;
-        ShareCall { service: service.clone(), customer: customer.clone(), work_ms }
+        count.total.requested += work_ms;
+        CountedCall { service: service.clone(), customer: customer.clone(), work_ms }
     }
 
-    /// Counts a call that a server did, and how long that took where it is known.
-    pub fn give(&mut self, call: &ShareCall, took: Option<Duration>) {
+    /// Counts a call as served. `took` is the time that a server needed, if known.
+    pub fn record_served(&mut self, call: &CountedCall, took: Option<Duration>) {
         let counts = self.service(&call.service);
         if let Some(count) = counts.customers.get_mut(&call.customer) {
-            count.work.given += call.work_ms;
+            count.total.served += call.work_ms;
         }
         if let Some(took) = took {
             let took_ms = took.as_secs_f64() * 1_000.0;
-            let weight = if counts.work_ms > 0.0 { WORK_WEIGHT } else { 1.0 };
-            counts.work_ms += weight * (took_ms - counts.work_ms);
+            let weight = if counts.mean_work_ms > 0.0 { CALL_WORK_WEIGHT } else { 1.0 };
+            counts.mean_work_ms += weight * (took_ms - counts.mean_work_ms);
         }
     }
 
-    /// Records that a call was refused or waits because a service has no room.
-    pub fn note_short(&mut self, now: Timestamp, service: &Name) {
+    /// Records that a call was refused or queued because no server of a service had a free slot.
+    pub fn record_overload(&mut self, now: Timestamp, service: &Name) {
         let settings = self.settings;
-        self.service(service).turn_short(now, now, &settings);
+        self.service(service).mark_overloaded(now, now, &settings);
     }
 
-    /// Returns whether a service is short, or was lately, as far as this node knows.
-    pub fn is_short(&self, now: Timestamp, service: &str) -> bool {
-        self.services.get(service).is_some_and(|counts| counts.is_short(now, &self.settings))
+    /// Returns whether this node knows that a service is or was recently overloaded.
+    pub fn is_overloaded(&self, now: Timestamp, service: &str) -> bool {
+        self.services.get(service).is_some_and(|counts| counts.is_overloaded(now, &self.settings))
     }
 
-    /// Returns the services that are short, or were lately.
-    pub fn short_services(&self, now: Timestamp) -> Vec<Name> {
-        let short = self.services.iter().filter(|(_, counts)| counts.is_short(now, &self.settings));
-        short.map(|(name, _)| name.clone()).collect()
+    /// Returns the services that are or were recently overloaded.
+    pub fn overloaded_services(&self, now: Timestamp) -> Vec<Name> {
+        let overloaded = self.services.iter().filter(|(_, counts)| counts.is_overloaded(now, &self.settings));
+        overloaded.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Returns whether a customer has more than its share of a service, as far as that is known.
+    /// Returns whether a customer is known to be over its share of a service.
     pub fn is_over_share(&self, now: Timestamp, service: &str, customer: &str) -> bool {
-        let counts = self.services.get(service).filter(|counts| counts.has_news(now, &self.settings));
-        counts.is_some_and(|counts| counts.gates.contains_key(customer))
+        let counts = self.services.get(service).filter(|counts| counts.has_valid_shares(now, &self.settings));
+        counts.is_some_and(|counts| counts.throttles.contains_key(customer))
     }
 
-    /// Returns how many customers have more than their share of a service.
+    /// Returns the number of customers over their share of a service.
     pub fn customers_over_share(&self, now: Timestamp, service: &str) -> usize {
-        let counts = self.services.get(service).filter(|counts| counts.has_news(now, &self.settings));
-        counts.map_or(0, |counts| counts.gates.len())
+        let counts = self.services.get(service).filter(|counts| counts.has_valid_shares(now, &self.settings));
+        counts.map_or(0, |counts| counts.throttles.len())
     }
 
-    /// Returns what the adder of a service does not know yet; nothing unless the service is short.
+    /// Returns the usage that the aggregator of a service does not know yet; empty unless the service is overloaded.
     ///
-    /// Another adder than before is told of what comes from now on: the use of a while, told in one
-    /// moment, would look like much more use.
-    pub fn untold(&mut self, now: Timestamp, service: &Name, adder: &Name) -> Vec<CustomerUse> {
+    /// If the aggregator has changed, reported counts restart: usage accumulated over a longer time and reported at
+    /// once would look like a much higher rate.
+    pub fn unreported_usage(&mut self, now: Timestamp, service: &Name, aggregator: &Name) -> Vec<CustomerUsage> {
         let Some(counts) = self.services.get_mut(service) else { return Vec::new() };
-        if !counts.is_short(now, &self.settings) {
+        if !counts.is_overloaded(now, &self.settings) {
             return Vec::new();
         }
-        if counts.adder.as_ref() != Some(adder) {
-            counts.adder = Some(adder.clone());
-            counts.begin(now);
+        if counts.aggregator.as_ref() != Some(aggregator) {
+            counts.aggregator = Some(aggregator.clone());
+            counts.reset(now);
         }
-        let customer_use = |(customer, count): (&Name, &CustomerCount)| CustomerUse {
+        let usage = |(customer, count): (&Name, &CustomerCount)| CustomerUsage {
             service: service.clone(),
             customer: customer.clone(),
             weight: count.weight,
-            incarnation: self.started_ms + count.began_at.0,
-            asked_ms: count.work.asked - count.base.asked,
-            given_ms: count.work.given - count.base.given,
+            incarnation: self.started_ms + count.reset_at.0,
+            requested_ms: count.total.requested - count.baseline.requested,
+            served_ms: count.total.served - count.baseline.served,
         };
-        let untold = counts.customers.iter().filter(|(_, count)| count.told != count.work);
-        let mut uses: Vec<CustomerUse> = untold.map(customer_use).collect();
-        if uses.is_empty() && !counts.is_told {
-            // Counts of nothing say that the service is short.
-            uses.extend(counts.customers.iter().next().map(customer_use));
+        let unreported = counts.customers.iter().filter(|(_, count)| count.acknowledged != count.total);
+        let mut usages: Vec<CustomerUsage> = unreported.map(usage).collect();
+        if usages.is_empty() && !counts.is_reported {
+            // A report without new work tells the aggregator that the service is overloaded.
+            usages.extend(counts.customers.iter().next().map(usage));
         }
-        uses
+        usages
     }
 
-    /// Records that an adder took these counts. Counts that have gone on for a while begin anew, so that
-    /// another adder, which knows none of them, takes no old use for new.
-    pub fn told(&mut self, now: Timestamp, uses: &[CustomerUse]) {
-        for told in uses {
-            let Some(counts) = self.services.get_mut(&told.service) else { continue };
-            counts.is_told = true;
-            let count = counts.customers.get_mut(&told.customer);
-            let Some(count) = count.filter(|count| self.started_ms + count.began_at.0 == told.incarnation) else {
+    /// Records that an aggregator received these counts. Counts that are older than the TTL of shares restart, so
+    /// that another aggregator does not mistake old usage for new.
+    pub fn acknowledge(&mut self, now: Timestamp, usages: &[CustomerUsage]) {
+        for usage in usages {
+            let Some(counts) = self.services.get_mut(&usage.service) else { continue };
+            counts.is_reported = true;
+            let count = counts.customers.get_mut(&usage.customer);
+            let Some(count) = count.filter(|count| self.started_ms + count.reset_at.0 == usage.incarnation) else {
                 continue;
             };
-            let taken = WorkCount { asked: count.base.asked + told.asked_ms, given: count.base.given + told.given_ms };
-            count.told = taken;
-            if now.since(count.began_at) > self.settings.life {
-                count.begin(now, taken);
+            let acknowledged = WorkTotals {
+                requested: count.baseline.requested + usage.requested_ms,
+                served: count.baseline.served + usage.served_ms,
+            };
+            count.acknowledged = acknowledged;
+            if now.since(count.reset_at) > self.settings.shares_ttl {
+                count.reset(now, acknowledged);
             }
         }
     }
 
-    /// Takes over an answer of an adder, which also says that the service is short, unless a younger one
-    /// is known. Returns whether other customers than before are over their share.
-    pub fn learn(&mut self, now: Timestamp, mut shares: ServiceShares) -> bool {
-        shares.parts.retain(|(_, part)| *part > 0.0 && *part < 1.0);
-        let made_at = now - Duration::from_millis(shares.age_ms);
+    /// Applies shares from an aggregator, which also indicate that the service is overloaded, unless newer ones are
+    /// known. Returns whether the set of customers over their share changed.
+    pub fn apply_shares(&mut self, now: Timestamp, mut shares: ServiceShares) -> bool {
+        shares.fractions.retain(|(_, fraction)| *fraction > 0.0 && *fraction < 1.0);
+        let computed_at = now - Duration::from_millis(shares.age_ms);
         let (node, settings) = (self.node.clone(), self.settings);
         let counts = self.service(&shares.service);
-        if counts.learnt_at.is_some_and(|at| at >= made_at) || now.since(made_at) > settings.life {
+        if counts.computed_at.is_some_and(|at| at >= computed_at) || now.since(computed_at) > settings.shares_ttl {
             return false;
         }
         if counts.is_partial(now, &shares) {
             return false;
         }
-        counts.learnt_at = Some(made_at);
-        counts.learnt_asked_ms_per_second = shares.asked_ms_per_second;
-        // An answer without shares starts the counts and keeps nothing going: its adder knows no more than
-        // that somebody told it.
-        if now.since(made_at) < settings.life || !counts.is_short(now, &settings) {
-            counts.turn_short(now, made_at, &settings);
+        counts.computed_at = Some(computed_at);
+        counts.covered_ms_per_second = shares.requested_ms_per_second;
+        // An answer sent during the warm-up of an aggregator starts the counts but does not prolong the overload,
+        // since the aggregator only repeats what a node reported to it.
+        if now.since(computed_at) < settings.shares_ttl || !counts.is_overloaded(now, &settings) {
+            counts.mark_overloaded(now, computed_at, &settings);
         }
-        let before = counts.gates.len();
-        counts.gates.retain(|customer, _| shares.parts.iter().any(|(name, _)| name == customer));
-        let mut is_changed = counts.gates.len() != before;
-        for (customer, part) in shares.parts {
-            match counts.gates.get_mut(&customer) {
-                Some(gate) => gate.set_part(part.max(settings.least_part)),
+        let before = counts.throttles.len();
+        counts.throttles.retain(|customer, _| shares.fractions.iter().any(|(name, _)| name == customer));
+        let mut is_changed = counts.throttles.len() != before;
+        for (customer, fraction) in shares.fractions {
+            match counts.throttles.get_mut(&customer) {
+                Some(throttle) => throttle.set_fraction(fraction.max(settings.min_fraction)),
                 None => {
                     is_changed = true;
-                    let gate = PartGate::new(&node, &customer, part.max(settings.least_part));
-                    counts.gates.insert(customer, gate);
+                    let throttle = CallThrottle::new(&node, &customer, fraction.max(settings.min_fraction));
+                    counts.throttles.insert(customer, throttle);
                 }
             }
         }
         is_changed
     }
 
-    /// Returns the answers of adders that peers are to be told, and takes them as passed on. At many nodes
-    /// each has a call now and then only, and what an adder answered to the last one is too old by then.
-    pub fn take_passed(&mut self, now: Timestamp) -> Vec<ServiceShares> {
+    /// Returns the shares that are due for forwarding and marks them as forwarded. With many nodes each one sees a
+    /// call only now and then, and the shares received for the previous one have expired by then.
+    pub fn take_shares_to_forward(&mut self, now: Timestamp) -> Vec<ServiceShares> {
         let settings = self.settings;
-        let pass = |(name, counts): (&Name, &mut ServiceCounts)| {
-            let made_at = counts.learnt_at.filter(|at| now.since(*at) <= settings.life)?;
-            let is_due = counts.passed_at.is_none_or(|at| made_at.since(at) >= settings.pass_interval);
+        let to_forward = |(name, counts): (&Name, &mut ServiceCounts)| {
+            let computed_at = counts.computed_at.filter(|at| now.since(*at) <= settings.shares_ttl)?;
+            let is_due = counts.forwarded_at.is_none_or(|at| computed_at.since(at) >= settings.forward_interval);
             if !is_due {
                 return None;
             }
-            counts.passed_at = Some(made_at);
-            let parts = counts.gates.iter().map(|(customer, gate)| (customer.clone(), gate.part())).collect();
-            let age_ms = millis(now.since(made_at));
-            let asked_ms_per_second = counts.learnt_asked_ms_per_second;
-            Some(ServiceShares { service: name.clone(), parts, age_ms, asked_ms_per_second })
+            counts.forwarded_at = Some(computed_at);
+            let fractions =
+                counts.throttles.iter().map(|(customer, throttle)| (customer.clone(), throttle.fraction())).collect();
+            let age_ms = millis(now.since(computed_at));
+            let requested_ms_per_second = counts.covered_ms_per_second;
+            Some(ServiceShares { service: name.clone(), fractions, age_ms, requested_ms_per_second })
         };
-        self.services.iter_mut().filter_map(pass).collect()
+        self.services.iter_mut().filter_map(to_forward).collect()
     }
 
-    /// Returns the customers that asked for most, at most `most` of them.
-    pub fn lines(&self, now: Timestamp, most: usize) -> Vec<ShareLine> {
-        let of_service = |(service, counts): (&Name, &ServiceCounts)| {
-            let has_news = counts.has_news(now, &self.settings);
-            let line = |(customer, count): (&Name, &CustomerCount)| ShareLine {
+    /// Returns the customers that requested most work, at most `limit` of them.
+    pub fn statuses(&self, now: Timestamp, limit: usize) -> Vec<ShareStatus> {
+        let statuses_of = |(service, counts): (&Name, &ServiceCounts)| {
+            let has_valid_shares = counts.has_valid_shares(now, &self.settings);
+            let status = |(customer, count): (&Name, &CustomerCount)| ShareStatus {
                 service: service.clone(),
                 customer: customer.clone(),
-                asked_ms: count.work.asked,
-                given_ms: count.work.given,
-                part: counts.gates.get(customer).filter(|_| has_news).map(PartGate::part),
+                requested_ms: count.total.requested,
+                served_ms: count.total.served,
+                fraction: counts.throttles.get(customer).filter(|_| has_valid_shares).map(CallThrottle::fraction),
             };
-            counts.customers.iter().map(line).collect::<Vec<ShareLine>>()
+            counts.customers.iter().map(status).collect::<Vec<ShareStatus>>()
         };
-        let mut lines: Vec<ShareLine> = self.services.iter().flat_map(of_service).collect();
-        lines.sort_by_key(|line| std::cmp::Reverse(line.asked_ms));
-        lines.truncate(most);
-        lines
+        let mut statuses: Vec<ShareStatus> = self.services.iter().flat_map(statuses_of).collect();
+        statuses.sort_by_key(|status| std::cmp::Reverse(status.requested_ms));
+        statuses.truncate(limit);
+        statuses
     }
 
     fn service(&mut self, service: &Name) -> &mut ServiceCounts {
--- a/crates/trestlerack/src/process/shares/work_rate.rs
+++ b/crates/trestlerack/src/process/shares/work_rate.rs
@@ -1,51 +1,52 @@
-//! How much work a second, as it was lately.
+//! Moving averages of the rate of work.
 
-/// Weight of the newest period in the quick mean, which follows a customer that grows.
-const QUICK: f64 = 0.4;
+/// Weight of the newest period in the fast mean, which follows a customer whose demand grows.
+const FAST_WEIGHT: f64 = 0.4;
 
-/// Weight of the newest period in the steady mean, which a single call hardly moves.
-const STEADY: f64 = 0.125;
+/// Weight of the newest period in the slow mean, which a single call hardly changes.
+const SLOW_WEIGHT: f64 = 0.125;
 
-/// Means of work over equal periods.
+/// Two exponential moving averages of work, updated at the end of each period.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WorkRate {
-    quick: f64,
-    steady: f64,
-    /// Work of the period that goes on, in milliseconds.
+    fast: f64,
+    slow: f64,
+    /// Work of the current period, in milliseconds.
     current: f64,
 }
 
 impl WorkRate {
-    /// Adds work to the period that goes on.
+    /// Adds work to the current period.
     pub fn add(&mut self, work_ms: f64) {
         self.current += work_ms;
     }
 
-    /// Ends a period of so many seconds.
-    pub fn turn(&mut self, seconds: f64) {
+    /// Ends the current period, which lasted `seconds`.
+    pub fn end_period(&mut self, seconds: f64) {
         let rate = self.current / seconds;
-        self.quick += QUICK * (rate - self.quick);
-        self.steady += STEADY * (rate - self.steady);
+        self.fast += FAST_WEIGHT * (rate - self.fast);
+        self.slow += SLOW_WEIGHT * (rate - self.slow);
         self.current = 0.0;
     }
 
-    /// Returns the quick mean after `periods` periods, of which the ones before the first count as unknown.
-    pub fn quick(&self, periods: i32) -> f64 {
-        known_part(self.quick, QUICK, periods)
+    /// Returns the fast mean after `periods` periods, corrected for the time before the first one, in milliseconds of
+    /// work a second.
+    pub fn fast(&self, periods: i32) -> f64 {
+        bias_corrected(self.fast, FAST_WEIGHT, periods)
     }
 
-    /// Returns the steady mean, as [`WorkRate::quick`] does.
-    pub fn steady(&self, periods: i32) -> f64 {
-        known_part(self.steady, STEADY, periods)
+    /// Returns the slow mean, corrected like [`WorkRate::fast`].
+    pub fn slow(&self, periods: i32) -> f64 {
+        bias_corrected(self.slow, SLOW_WEIGHT, periods)
     }
 
-    /// Returns the greater mean: a moment in which little was served is no proof that there is no room.
-    pub fn greater(&self, periods: i32) -> f64 {
-        self.quick(periods).max(self.steady(periods))
+    /// Returns the higher mean. A short time with little served work does not show that capacity is low.
+    pub fn higher(&self, periods: i32) -> f64 {
+        self.fast(periods).max(self.slow(periods))
     }
 }
 
-fn known_part(mean: f64, weight: f64, periods: i32) -> f64 {
-    let known = 1.0 - (1.0 - weight).powi(periods);
-    if known > 0.0 { mean / known } else { 0.0 }
+fn bias_corrected(mean: f64, weight: f64, periods: i32) -> f64 {
+    let known_weight = 1.0 - (1.0 - weight).powi(periods);
+    if known_weight > 0.0 { mean / known_weight } else { 0.0 }
 }
--- a/crates/trestlerack/src/process/suspects/mod.rs
+++ b/crates/trestlerack/src/process/suspects/mod.rs
@@ -27,9 +27,9 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 use suspect_record::{Strike, SuspectRecord};
-pub use trial_grants::TrialBook;
+pub use trial_grants::TrialGrants;
 
-/// Settings of a [`SuspectBook`].
+/// Settings of a [`SuspectTracker`].
 #[derive(Clone, Debug)]
 pub struct SuspectSettings {
     /// Ended servers from which a content is held. Two may be chance where several servers end at
@@ -45,7 +45,7 @@
     /// all the time is in progress at most ends, and was answered just before.
     pub sound_life: Duration,
     /// Time in which service discovery may still tell that a server ended whose connection broke: what
-    /// an entry takes to lapse, and [`NEWS_LAG`].
+    /// an entry takes to lapse, and [`DISCOVERY_LAG`].
     pub doubt_life: Duration,
     /// Contents kept at most; each takes some 100 bytes and 30 for each strike.
     pub most_suspects: usize,
@@ -58,7 +58,7 @@
 /// Time by which news of a lapsed entry may be late here: the pause of a watch, a slow store's answer, and
 /// the work that the server still did for a client that had left. Reckoned; a longer one blames
 /// requests for ends that came after them.
-pub const NEWS_LAG: Duration = Duration::from_millis(1_400);
+pub const DISCOVERY_LAG: Duration = Duration::from_millis(1_400);
 
 impl Default for SuspectSettings {
     fn default() -> Self {
@@ -67,7 +67,7 @@
             settle_time: Duration::from_millis(700),
             life: Duration::from_secs(600),
             sound_life: Duration::from_secs(10),
-            doubt_life: Duration::from_millis(3_600) + NEWS_LAG,
+            doubt_life: Duration::from_millis(3_600) + DISCOVERY_LAG,
             most_suspects: 512,
             most_strikes: 16,
             most_recent: 256,
@@ -77,7 +77,7 @@
 
 /// What nodes tell each other of one strike.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StrikeNote {
+pub struct CrashReport {
     /// What was asked for.
     pub fingerprint: RequestFingerprint,
     /// The start of the server that ended; see [`server_start`].
@@ -97,7 +97,7 @@
 
 /// How a content stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SuspectStanding {
+pub enum SuspectState {
     /// No server ended under it, as far as is known.
     Clear,
     /// So many servers ended under it.
@@ -118,11 +118,11 @@
 
 /// A suspect, as operators are shown it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SuspectLine {
+pub struct SuspectStatus {
     /// What is asked for.
     pub fingerprint: RequestFingerprint,
     /// How it stands.
-    pub standing: SuspectStanding,
+    pub standing: SuspectState,
     /// Servers that ended under it.
     pub ended: usize,
     /// Those of them that no other content accounts for.
@@ -131,7 +131,7 @@
 
 /// What a node knows of requests under which servers ended.
 #[derive(Debug, Default)]
-pub struct SuspectBook {
+pub struct SuspectTracker {
     settings: SuspectSettings,
     records: HashMap<RequestFingerprint, SuspectRecord>,
     /// Contents that were answered whole, and when, oldest first.
@@ -140,7 +140,7 @@
     runs: SuspectRuns,
 }
 
-impl SuspectBook {
+impl SuspectTracker {
     /// Builds a book that suspects nobody.
     pub fn new(settings: SuspectSettings) -> Self {
         Self { settings, ..Self::default() }
@@ -154,7 +154,7 @@
         fingerprint: RequestFingerprint,
         server: &ServerEntry,
         is_trial: bool,
-    ) -> Option<StrikeNote> {
+    ) -> Option<CrashReport> {
         self.ended_at(now, fingerprint, server_start(&server.instance, server.started_ms), is_trial)
     }
 
@@ -165,16 +165,16 @@
         fingerprint: RequestFingerprint,
         server: u64,
         is_trial: bool,
-    ) -> Option<StrikeNote> {
+    ) -> Option<CrashReport> {
         if self.is_sound(now, fingerprint) {
             return None;
         }
-        let note = StrikeNote { fingerprint, server, is_trial, is_void: false, age_ms: 0 };
+        let note = CrashReport { fingerprint, server, is_trial, is_void: false, age_ms: 0 };
         self.join(now, &note).then_some(note)
     }
 
     /// Takes over a strike. Returns whether it says anything new.
-    pub fn join(&mut self, now: Timestamp, note: &StrikeNote) -> bool {
+    pub fn join(&mut self, now: Timestamp, note: &CrashReport) -> bool {
         self.expire(now);
         let at = now - Duration::from_millis(note.age_ms);
         if now.since(at) >= self.settings.life {
@@ -196,7 +196,7 @@
     }
 
     /// Records that a server answered a request whole. Returns the strikes that are void by that.
-    pub fn answered(&mut self, now: Timestamp, fingerprint: RequestFingerprint) -> Vec<StrikeNote> {
+    pub fn answered(&mut self, now: Timestamp, fingerprint: RequestFingerprint) -> Vec<CrashReport> {
         self.sound.push_back((fingerprint, now));
         if self.sound.len() > self.settings.most_recent {
             self.sound.pop_front();
@@ -228,7 +228,7 @@
 
     /// Records that service discovery lost a server that had not asked to leave, or lists a later
     /// start of it. Returns the strikes of the breaks that this explains.
-    pub fn server_gone(&mut self, now: Timestamp, server: &ServerEntry) -> Vec<StrikeNote> {
+    pub fn server_gone(&mut self, now: Timestamp, server: &ServerEntry) -> Vec<CrashReport> {
         let life = self.settings.doubt_life;
         self.doubts.retain(|doubt| now.since(doubt.at) < life);
         let is_of = |doubt: &OpenDoubt| doubt.instance == server.instance && doubt.started_ms == server.started_ms;
@@ -240,11 +240,11 @@
     }
 
     /// Returns how a content stands.
-    pub fn standing(&self, now: Timestamp, fingerprint: RequestFingerprint) -> SuspectStanding {
-        let Some(record) = self.records.get(&fingerprint) else { return SuspectStanding::Clear };
+    pub fn standing(&self, now: Timestamp, fingerprint: RequestFingerprint) -> SuspectState {
+        let Some(record) = self.records.get(&fingerprint) else { return SuspectState::Clear };
         let (ended, left) = (record.live().count(), self.life_left(now, record));
         if ended == 0 || left.is_zero() {
-            return SuspectStanding::Clear;
+            return SuspectState::Clear;
         }
         let is_settled = |strike: &Strike| now.since(strike.at) >= self.settings.settle_time;
         let mut unexplained = self.unexplained(now, fingerprint, record);
@@ -258,9 +258,9 @@
             lone_trials += usize::from(strike.is_trial && !self.is_tried_by_other(fingerprint, *server));
         }
         if is_sole_cause || (ends >= self.settings.held_from && lone_trials > 0) {
-            return SuspectStanding::Held(left);
+            return SuspectState::Held(left);
         }
-        SuspectStanding::Suspected(ended)
+        SuspectState::Suspected(ended)
     }
 
     /// Returns whether another content ended a server on a trial too, so that neither had it for itself.
@@ -300,7 +300,7 @@
     /// Records that a request is sent to a server. Returns the run to name at its end, if its content is
     /// suspected.
     pub fn sent(&mut self, now: Timestamp, server: &Name, fingerprint: RequestFingerprint) -> Option<SuspectRun> {
-        let is_suspect = self.standing(now, fingerprint) != SuspectStanding::Clear;
+        let is_suspect = self.standing(now, fingerprint) != SuspectState::Clear;
         is_suspect.then(|| self.runs.begin(server, fingerprint))
     }
 
@@ -320,19 +320,19 @@
     }
 
     /// Returns every strike that is kept, void ones included, for a node that may have missed some.
-    pub fn notes(&self, now: Timestamp) -> Vec<StrikeNote> {
+    pub fn notes(&self, now: Timestamp) -> Vec<CrashReport> {
         self.records.iter().flat_map(|(fingerprint, record)| record.notes(now, *fingerprint)).collect()
     }
 
     /// Returns the suspects, those under which most servers ended first.
-    pub fn lines(&self, now: Timestamp) -> Vec<SuspectLine> {
-        let line = |(fingerprint, record): (&RequestFingerprint, &SuspectRecord)| SuspectLine {
+    pub fn lines(&self, now: Timestamp) -> Vec<SuspectStatus> {
+        let line = |(fingerprint, record): (&RequestFingerprint, &SuspectRecord)| SuspectStatus {
             fingerprint: *fingerprint,
             standing: self.standing(now, *fingerprint),
             ended: record.live().count(),
             unexplained: self.unexplained(now, *fingerprint, record).len(),
         };
-        let mut lines: Vec<SuspectLine> = self.records.iter().map(line).filter(|line| line.ended > 0).collect();
+        let mut lines: Vec<SuspectStatus> = self.records.iter().map(line).filter(|line| line.ended > 0).collect();
         lines.sort_by_key(|line| (std::cmp::Reverse(line.ended), line.fingerprint));
         lines
     }
--- a/crates/trestlerack/src/process/suspects/suspect_record.rs
+++ b/crates/trestlerack/src/process/suspects/suspect_record.rs
@@ -1,6 +1,6 @@
 //! The strikes of one content.
 
-use super::StrikeNote;
+use super::CrashReport;
 use crate::request::RequestFingerprint;
 use crate::{Timestamp, time::millis};
 use std::collections::BTreeMap;
@@ -72,8 +72,8 @@
         &self,
         now: Timestamp,
         fingerprint: RequestFingerprint,
-    ) -> impl Iterator<Item = StrikeNote> + '_ {
-        self.strikes.iter().map(move |(server, strike)| StrikeNote {
+    ) -> impl Iterator<Item = CrashReport> + '_ {
+        self.strikes.iter().map(move |(server, strike)| CrashReport {
             fingerprint,
             server: *server,
             is_trial: strike.is_trial,
--- a/crates/trestlerack/src/process/suspects/trial_grants.rs
+++ b/crates/trestlerack/src/process/suspects/trial_grants.rs
@@ -11,11 +11,11 @@
 
 /// The suspects that have a server for themselves, as the node knows that keeps these servers' trials.
 #[derive(Debug, Default)]
-pub struct TrialBook {
+pub struct TrialGrants {
     servers: BTreeMap<Name, (RequestFingerprint, Timestamp)>,
 }
 
-impl TrialBook {
+impl TrialGrants {
     /// Gives a server to a content, unless another one has it. The same content may ask again, as its node
     /// does after a lost answer.
     pub fn grant(&mut self, now: Timestamp, server: &Name, fingerprint: RequestFingerprint) -> bool {
--- a/crates/trestlerack/tests/job_end_freshness.rs
+++ b/crates/trestlerack/tests/job_end_freshness.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 use trestlerack::Timestamp;
-use trestlerack::process::{EndNews, EndNewsSettings};
+use trestlerack::process::{JobEndFreshness, JobEndFreshnessSettings};
 
 /// Time after the acknowledgement of an end in which an item may still reach a server.
 const CANCEL_TIME: Duration = Duration::from_secs(3);
@@ -18,7 +18,7 @@
 fn a_driver_that_is_late_starts_nothing_after_an_end() {
     for late_ms in (1_000..=10_000).step_by(500) {
         for end_ms in (0..4_000).step_by(70) {
-            let mut news = EndNews::default();
+            let mut news = JobEndFreshness::default();
             let ended_at = START + Duration::from_millis(end_ms);
             let mut knows_end = false;
             for step_ms in (0..20_000_u64).step_by(10) {
@@ -40,7 +40,7 @@
 
 #[test]
 fn prompt_news_stops_no_start() {
-    let mut news = EndNews::default();
+    let mut news = JobEndFreshness::default();
     for step in 0..100 {
         let now = START + Duration::from_millis(900 * step);
         assert!(news.may_start(now));
@@ -51,7 +51,7 @@
 /// While the store is away no end is acknowledged, and runs go on.
 #[test]
 fn an_outage_stops_no_start() {
-    let mut news = EndNews::new(EndNewsSettings::default());
+    let mut news = JobEndFreshness::new(JobEndFreshnessSettings::default());
     news.taken_in(START);
     let later = START + Duration::from_secs(5);
     assert!(!news.may_start(later));
--- a/crates/trestlerack/tests/shares_nodes.rs
+++ b/crates/trestlerack/tests/shares_nodes.rs
@@ -1,56 +1,56 @@
-//! Shares of customers of a service with too little room, over many nodes.
+//! Fair shares of an overloaded service, simulated with up to 370 nodes.
 
 #[path = "support/share_simulation.rs"]
 mod share_simulation;
 
 use share_simulation::*;
 
-/// Calls that the servers serve each second.
-const ROOM: f64 = 1_500.0;
+/// Calls that the servers serve in a second.
+const CAPACITY: f64 = 1_500.0;
 
-/// Part of the room that has to be used in each second.
-const USED_PART: f64 = 0.95;
+/// Minimum fraction of the capacity that must be used in each second.
+const MIN_USED_FRACTION: f64 = 0.95;
 
-/// Part of what it asks for, or of its fair share, that each customer has to get.
-const SERVED_PART: f64 = 0.9;
+/// Minimum fraction of its demand, or of its fair share, that each customer must be served.
+const MIN_SERVED_FRACTION: f64 = 0.9;
 
-fn used(second: &Second, room: f64) -> f64 {
-    second.served.iter().sum::<f64>() / room
+fn used_fraction(second: &SecondStats, capacity: f64) -> f64 {
+    second.served.iter().sum::<f64>() / capacity
 }
 
-/// Returns whether a customer asks for clearly less than the largest share.
-fn is_small(field: &Field, customer: usize) -> bool {
-    let largest = field.fair().into_iter().fold(0.0, f64::max);
-    field.rates[customer] < largest * SERVED_PART
+/// Returns whether the demand of a customer is clearly below the largest share.
+fn is_small(simulation: &ShareSimulation, customer: usize) -> bool {
+    let largest = simulation.fair_rates().into_iter().fold(0.0, f64::max);
+    simulation.rates[customer] < largest * MIN_SERVED_FRACTION
 }
 
-/// Asserts that in each of the seconds the room was used, and that customers who ask for no more than
-/// their share got it.
-fn assert_small_are_served(field: &Field, seconds: &[Second], what: &str) {
-    let fair = field.fair();
+/// Asserts that the capacity was used in each second and that customers whose demand is below their share were
+/// served.
+fn assert_small_customers_served(simulation: &ShareSimulation, seconds: &[SecondStats], case: &str) {
+    let fair_rates = simulation.fair_rates();
     for (index, second) in seconds.iter().enumerate() {
-        let mut low = below(&second.served, &fair, SERVED_PART);
-        low.retain(|customer, _| is_small(field, *customer));
-        assert!(low.is_empty(), "{what}, second {index}: {low:?}");
-        let used = used(second, field.room);
-        assert!(used >= USED_PART, "{what}, second {index}: {used} of the room is used");
+        let mut underserved = below_share(&second.served, &fair_rates, MIN_SERVED_FRACTION);
+        underserved.retain(|customer, _| is_small(simulation, *customer));
+        assert!(underserved.is_empty(), "{case}, second {index}: {underserved:?}");
+        let used_fraction = used_fraction(second, simulation.capacity);
+        assert!(used_fraction >= MIN_USED_FRACTION, "{case}, second {index}: {used_fraction} of the capacity is used");
     }
 }
 
-/// Asserts that all customers got their fair share over all these seconds.
-fn assert_fair(field: &Field, seconds: &[Second], what: &str) {
-    let low = below(&served_in(seconds), &field.fair(), SERVED_PART);
-    assert!(low.is_empty(), "{what}: {low:?}");
+/// Asserts that all customers were served their fair share over all these seconds.
+fn assert_fair(simulation: &ShareSimulation, seconds: &[SecondStats], case: &str) {
+    let underserved = below_share(&mean_served_rates(seconds), &simulation.fair_rates(), MIN_SERVED_FRACTION);
+    assert!(underserved.is_empty(), "{case}: {underserved:?}");
 }
 
 #[test]
 fn small_customers_get_what_they_ask_for_from_any_number_of_nodes() {
     for nodes in [2, 9, 81, 300] {
         for factor in [1.5, 3.0, 10.0] {
-            let mut field = Field::new(nodes, ROOM, skewed_rates(ROOM * factor));
-            field.pass_seconds(8);
-            let what = format!("{nodes} nodes, {factor} times the room");
-            assert_small_are_served(&field, &field.seconds[1..], &what);
+            let mut simulation = ShareSimulation::new(nodes, CAPACITY, skewed_rates(CAPACITY * factor));
+            simulation.run_seconds(8);
+            let case = format!("{nodes} nodes, {factor} times the capacity");
+            assert_small_customers_served(&simulation, &simulation.seconds[1..], &case);
         }
     }
 }
@@ -68,9 +68,9 @@
 fn assert_large_customers_get_share(seed: u64) {
     for nodes in [2, 9, 81, 300] {
         for factor in [1.5, 3.0, 10.0] {
-            let mut field = Field::with_seed(seed, nodes, ROOM, skewed_rates(ROOM * factor));
-            field.pass_seconds(8);
-            assert_fair(&field, &field.seconds[1..], &format!("{nodes} nodes, {factor} times the room"));
+            let mut simulation = ShareSimulation::with_seed(seed, nodes, CAPACITY, skewed_rates(CAPACITY * factor));
+            simulation.run_seconds(8);
+            assert_fair(&simulation, &simulation.seconds[1..], &format!("{nodes} nodes, {factor} times the capacity"));
         }
     }
 }
@@ -78,191 +78,195 @@
 #[test]
 fn a_customer_that_grows_forty_times_takes_from_nobody() {
     for nodes in [2, 9, 81] {
-        let mut field = Field::new(nodes, ROOM, skewed_rates(ROOM * 0.6));
-        field.pass_seconds(2);
-        assert!(field.seconds.iter().all(|second| second.messages == 0 && second.over_share == 0));
-        field.rates[5] *= 40.0;
-        field.pass_seconds(6);
-        let what = format!("{nodes} nodes");
-        assert_small_are_served(&field, &field.seconds[3..], &what);
-        assert_fair(&field, &field.seconds[3..], &what);
-        field.rates[5] /= 40.0;
-        field.pass_seconds(20);
-        assert_small_are_served_all(&field, field.seconds.last().unwrap());
-        assert_eq!(field.seconds.last().unwrap().messages, 0, "nothing is told once there is room again");
+        let mut simulation = ShareSimulation::new(nodes, CAPACITY, skewed_rates(CAPACITY * 0.6));
+        simulation.run_seconds(2);
+        assert!(simulation.seconds.iter().all(|second| second.messages == 0 && second.over_share == 0));
+        simulation.rates[5] *= 40.0;
+        simulation.run_seconds(6);
+        let case = format!("{nodes} nodes");
+        assert_small_customers_served(&simulation, &simulation.seconds[3..], &case);
+        assert_fair(&simulation, &simulation.seconds[3..], &case);
+        simulation.rates[5] /= 40.0;
+        simulation.run_seconds(20);
+        assert_all_demand_served(&simulation, simulation.seconds.last().unwrap());
+        assert_eq!(
+            simulation.seconds.last().unwrap().messages,
+            0,
+            "no messages are sent once there is free capacity again"
+        );
     }
 }
 
-fn assert_small_are_served_all(field: &Field, second: &Second) {
-    let low = below(&second.served, &field.rates, 1.0);
-    assert!(low.is_empty() && second.over_share == 0, "{low:?}");
+fn assert_all_demand_served(simulation: &ShareSimulation, second: &SecondStats) {
+    let underserved = below_share(&second.served, &simulation.rates, 1.0);
+    assert!(underserved.is_empty() && second.over_share == 0, "{underserved:?}");
 }
 
 #[test]
-fn a_service_with_room_admits_every_call_and_costs_no_message() {
-    let mut field = Field::new(81, ROOM, skewed_rates(ROOM * 0.6));
-    field.pass_seconds(5);
-    let told: usize = field.seconds.iter().map(|second| second.messages).sum();
-    assert_eq!(told, 0);
-    assert!(field.seconds.iter().all(|second| second.over_share == 0));
+fn a_service_with_capacity_admits_every_call_without_messages() {
+    let mut simulation = ShareSimulation::new(81, CAPACITY, skewed_rates(CAPACITY * 0.6));
+    simulation.run_seconds(5);
+    let messages: usize = simulation.seconds.iter().map(|second| second.messages).sum();
+    assert_eq!(messages, 0);
+    assert!(simulation.seconds.iter().all(|second| second.over_share == 0));
 }
 
 #[test]
-fn few_nodes_that_are_cut_in_half_leave_each_customer_half_its_share() {
-    cut_in_half(9);
+fn a_partition_of_few_nodes_leaves_each_customer_half_its_share() {
+    assert_half_share_after_partition(9);
 }
 
 #[test]
-fn many_nodes_that_are_cut_in_half_leave_each_customer_half_its_share() {
-    cut_in_half(81);
+fn a_partition_of_many_nodes_leaves_each_customer_half_its_share() {
+    assert_half_share_after_partition(81);
 }
 
-fn cut_in_half(nodes: usize) {
-    let mut field = Field::new(nodes, ROOM, skewed_rates(ROOM * 3.0));
-    field.pass_seconds(3);
-    field.cut_in_half();
-    field.pass_seconds(8);
-    let fair = field.fair();
-    for second in &field.seconds[3..] {
-        let mut low = below(&second.served, &fair, 0.5);
-        low.retain(|customer, _| is_small(&field, *customer));
-        assert!(low.is_empty(), "{nodes} nodes: {low:?}");
-        assert!(used(second, ROOM) >= USED_PART);
+fn assert_half_share_after_partition(nodes: usize) {
+    let mut simulation = ShareSimulation::new(nodes, CAPACITY, skewed_rates(CAPACITY * 3.0));
+    simulation.run_seconds(3);
+    simulation.partition();
+    simulation.run_seconds(8);
+    let fair_rates = simulation.fair_rates();
+    for second in &simulation.seconds[3..] {
+        let mut underserved = below_share(&second.served, &fair_rates, 0.5);
+        underserved.retain(|customer, _| is_small(&simulation, *customer));
+        assert!(underserved.is_empty(), "{nodes} nodes: {underserved:?}");
+        assert!(used_fraction(second, CAPACITY) >= MIN_USED_FRACTION);
     }
-    // Large customers lack some more until both sides have measured their parts of the room.
-    let low = below(&served_in(&field.seconds[6..]), &fair, 0.5);
-    assert!(low.is_empty(), "{nodes} nodes: {low:?}");
+    // Large customers are served less until both partitions have measured their part of the capacity.
+    let underserved = below_share(&mean_served_rates(&simulation.seconds[6..]), &fair_rates, 0.5);
+    assert!(underserved.is_empty(), "{nodes} nodes: {underserved:?}");
 }
 
-/// Lets the adder die after three seconds, and returns after six more.
-fn take_over(nodes: usize, seed: u64) -> (Field, usize) {
-    let mut field = Field::with_seed(seed, nodes, ROOM, skewed_rates(ROOM * 3.0));
-    field.pass_seconds(3);
-    let adder = field.adder();
-    field.kill(adder);
-    field.pass_seconds(6);
-    (field, adder)
+/// Stops the aggregator after three seconds and runs six more.
+fn run_with_failed_aggregator(nodes: usize, seed: u64) -> (ShareSimulation, usize) {
+    let mut simulation = ShareSimulation::with_seed(seed, nodes, CAPACITY, skewed_rates(CAPACITY * 3.0));
+    simulation.run_seconds(3);
+    let aggregator = simulation.aggregator();
+    simulation.kill(aggregator);
+    simulation.run_seconds(6);
+    (simulation, aggregator)
 }
 
 #[test]
-fn shares_are_back_within_a_second_when_the_adder_dies() {
-    assert_shares_return_after_adder_death(seed());
+fn shares_recover_within_a_second_after_the_aggregator_fails() {
+    assert_shares_recover_after_aggregator_failure(seed());
 }
 
 #[test]
-fn shares_are_back_after_the_death_of_the_adder_at_other_seeds() {
-    [10, 12, 16].into_iter().for_each(assert_shares_return_after_adder_death);
+fn shares_recover_after_the_aggregator_fails_at_other_seeds() {
+    [10, 12, 16].into_iter().for_each(assert_shares_recover_after_aggregator_failure);
 }
 
-fn assert_shares_return_after_adder_death(seed: u64) {
+fn assert_shares_recover_after_aggregator_failure(seed: u64) {
     for nodes in [3, 9, 81] {
-        let (field, _) = take_over(nodes, seed);
-        assert_small_are_served(&field, &field.seconds[4..], &format!("{nodes} nodes"));
+        let (simulation, _) = run_with_failed_aggregator(nodes, seed);
+        assert_small_customers_served(&simulation, &simulation.seconds[4..], &format!("{nodes} nodes"));
     }
 }
 
 #[test]
-fn an_adder_that_returns_leaves_each_small_customer_half_its_share() {
-    assert_half_share_when_adder_returns(seed());
+fn a_restarted_aggregator_leaves_each_small_customer_half_its_share() {
+    assert_half_share_after_aggregator_restart(seed());
 }
 
 /// Guards against shares that are correct for one order of messages only.
 #[test]
-fn an_adder_that_returns_leaves_each_small_customer_half_its_share_at_other_seeds() {
-    (1..=6).for_each(assert_half_share_when_adder_returns);
+fn a_restarted_aggregator_leaves_each_small_customer_half_its_share_at_other_seeds() {
+    (1..=6).for_each(assert_half_share_after_aggregator_restart);
 }
 
-fn assert_half_share_when_adder_returns(seed: u64) {
+fn assert_half_share_after_aggregator_restart(seed: u64) {
     for nodes in [3, 9] {
-        let (mut field, adder) = take_over(nodes, seed);
-        field.restart(adder);
-        field.pass_seconds(14);
-        let fair = field.fair();
-        for second in &field.seconds[1..] {
-            let mut low = below(&second.served, &fair, 0.5);
-            low.retain(|customer, _| is_small(&field, *customer));
-            assert!(low.is_empty(), "{nodes} nodes: {low:?}");
-            assert!(used(second, ROOM) >= USED_PART);
+        let (mut simulation, aggregator) = run_with_failed_aggregator(nodes, seed);
+        simulation.restart(aggregator);
+        simulation.run_seconds(14);
+        let fair_rates = simulation.fair_rates();
+        for second in &simulation.seconds[1..] {
+            let mut underserved = below_share(&second.served, &fair_rates, 0.5);
+            underserved.retain(|customer, _| is_small(&simulation, *customer));
+            assert!(underserved.is_empty(), "{nodes} nodes: {underserved:?}");
+            assert!(used_fraction(second, CAPACITY) >= MIN_USED_FRACTION);
         }
-        assert_small_are_served(&field, &field.seconds[20..], &format!("{nodes} nodes"));
+        assert_small_customers_served(&simulation, &simulation.seconds[20..], &format!("{nodes} nodes"));
     }
 }
 
 #[test]
-fn a_fresh_node_knows_the_shares_within_a_second() {
-    let mut field = Field::new(9, ROOM, skewed_rates(ROOM * 3.0));
-    field.pass_seconds(3);
-    let fresh = (field.adder() + 1) % 9;
-    field.restart(fresh);
-    assert!(!field.is_over_share(fresh, 0));
-    field.pass_seconds(1);
-    assert!(field.is_over_share(fresh, 0) && !field.is_over_share(fresh, CUSTOMERS - 1));
-    field.pass_seconds(3);
-    assert_small_are_served(&field, &field.seconds[3..], "a fresh node");
+fn a_restarted_node_knows_the_shares_within_a_second() {
+    let mut simulation = ShareSimulation::new(9, CAPACITY, skewed_rates(CAPACITY * 3.0));
+    simulation.run_seconds(3);
+    let restarted = (simulation.aggregator() + 1) % 9;
+    simulation.restart(restarted);
+    assert!(!simulation.is_over_share(restarted, 0));
+    simulation.run_seconds(1);
+    assert!(simulation.is_over_share(restarted, 0) && !simulation.is_over_share(restarted, CUSTOMERS - 1));
+    simulation.run_seconds(3);
+    assert_small_customers_served(&simulation, &simulation.seconds[3..], "a restarted node");
 }
 
 #[test]
 fn a_customer_gets_the_same_from_all_nodes_as_from_one() {
     for nodes in [9, 81] {
-        let mut field = Field::new(nodes, ROOM, vec![ROOM, ROOM, 300.0]);
-        field.spreads[1] = Spread::One(nodes - 1);
-        field.pass_seconds(8);
-        let served = served_in(&field.seconds[2..]);
+        let mut simulation = ShareSimulation::new(nodes, CAPACITY, vec![CAPACITY, CAPACITY, 300.0]);
+        simulation.routing[1] = ClientRouting::OneNode(nodes - 1);
+        simulation.run_seconds(8);
+        let served = mean_served_rates(&simulation.seconds[2..]);
         assert!((served[0] - served[1]).abs() < 60.0, "{nodes} nodes: {served:?}");
-        assert_small_are_served(&field, &field.seconds[2..], "one and all nodes");
+        assert_small_customers_served(&simulation, &simulation.seconds[2..], "one and all nodes");
     }
 }
 
 #[test]
-fn weights_divide_what_is_short() {
-    let mut field = Field::new(9, ROOM, vec![ROOM, ROOM, 100.0]);
-    field.weights[0] = 3;
-    field.pass_seconds(8);
-    let served = served_in(&field.seconds[2..]);
+fn weights_divide_scarce_capacity() {
+    let mut simulation = ShareSimulation::new(9, CAPACITY, vec![CAPACITY, CAPACITY, 100.0]);
+    simulation.weights[0] = 3;
+    simulation.run_seconds(8);
+    let served = mean_served_rates(&simulation.seconds[2..]);
     assert!((served[0] / served[1] - 3.0).abs() < 0.3, "{served:?}");
 }
 
 #[test]
-fn a_customer_that_is_alone_is_refused_by_room_only() {
-    let mut field = Field::new(9, ROOM, vec![ROOM * 3.0]);
-    field.pass_seconds(3);
-    assert!(field.seconds.iter().all(|second| second.over_share == 0));
+fn a_single_customer_is_never_refused_because_of_its_share() {
+    let mut simulation = ShareSimulation::new(9, CAPACITY, vec![CAPACITY * 3.0]);
+    simulation.run_seconds(3);
+    assert!(simulation.seconds.iter().all(|second| second.over_share == 0));
 }
 
 #[test]
-fn room_that_returns_is_found() {
-    let mut field = Field::new(9, ROOM, skewed_rates(ROOM * 3.0));
-    field.pass_seconds(3);
-    field.room = ROOM / 2.0;
-    field.pass_seconds(5);
-    assert_small_are_served(&field, &field.seconds[6..], "half of the room");
-    field.room = ROOM;
-    field.pass_seconds(6);
-    assert!(used(field.seconds.last().unwrap(), ROOM) >= USED_PART);
+fn regained_capacity_is_used_again() {
+    let mut simulation = ShareSimulation::new(9, CAPACITY, skewed_rates(CAPACITY * 3.0));
+    simulation.run_seconds(3);
+    simulation.capacity = CAPACITY / 2.0;
+    simulation.run_seconds(5);
+    assert_small_customers_served(&simulation, &simulation.seconds[6..], "half of the capacity");
+    simulation.capacity = CAPACITY;
+    simulation.run_seconds(6);
+    assert!(used_fraction(simulation.seconds.last().unwrap(), CAPACITY) >= MIN_USED_FRACTION);
 }
 
 #[test]
-fn a_node_with_a_call_a_second_tells_less_than_half_a_kilobyte() {
-    const MOST_BYTES: usize = 512;
+fn a_node_with_a_call_a_second_sends_less_than_half_a_kilobyte() {
+    const MAX_BYTES: usize = 512;
     for nodes in [81, 370] {
         for factor in [1.5, 3.0] {
-            let room = nodes as f64 / factor;
-            let mut field = Field::new(nodes, room, skewed_rates(nodes as f64));
-            field.pass_seconds(10);
-            let bytes: usize = field.seconds.iter().map(|second| second.bytes).sum();
-            let each = bytes / nodes / field.seconds.len();
-            println!("{nodes} nodes, {factor} times the room: {each} bytes a second and node");
-            assert!(each < MOST_BYTES, "{nodes} nodes, {factor} times the room: {each}");
+            let capacity = nodes as f64 / factor;
+            let mut simulation = ShareSimulation::new(nodes, capacity, skewed_rates(nodes as f64));
+            simulation.run_seconds(10);
+            let bytes: usize = simulation.seconds.iter().map(|second| second.bytes).sum();
+            let each = bytes / nodes / simulation.seconds.len();
+            println!("{nodes} nodes, {factor} times the capacity: {each} bytes per second and node");
+            assert!(each < MAX_BYTES, "{nodes} nodes, {factor} times the capacity: {each}");
         }
     }
 }
 
 #[test]
-fn few_calls_at_many_nodes_use_the_room() {
+fn few_calls_at_many_nodes_use_all_capacity() {
     for factor in [1.5, 3.0] {
-        let mut field = Field::new(81, 12.0, skewed_rates(12.0 * factor));
-        field.pass_seconds(30);
-        let served: f64 = served_in(&field.seconds[5..]).iter().sum();
-        assert!(served >= 12.0 * 0.95, "{factor} times the room: {served}");
+        let mut simulation = ShareSimulation::new(81, 12.0, skewed_rates(12.0 * factor));
+        simulation.run_seconds(30);
+        let served: f64 = mean_served_rates(&simulation.seconds[5..]).iter().sum();
+        assert!(served >= 12.0 * 0.95, "{factor} times the capacity: {served}");
     }
 }
--- a/crates/trestlerack/tests/suspect_gossip.rs
+++ b/crates/trestlerack/tests/suspect_gossip.rs
@@ -9,7 +9,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::Duration;
-use trestlerack::process::{GossipSettings, StrikeNote, SuspectBook, SuspectSettings, server_start};
+use trestlerack::process::{CrashReport, GossipSettings, SuspectSettings, SuspectTracker, server_start};
 use trestlerack::request::{RequestContent, RequestFingerprint};
 use trestlerack::{Name, Timestamp};
 
@@ -27,12 +27,12 @@
 }
 
 struct GossipModel {
-    books: Vec<SuspectBook>,
+    books: Vec<SuspectTracker>,
     names: Vec<Name>,
     /// Time, order of sending, receiver.
     queue: BinaryHeap<Reverse<(u64, u64, usize, Message)>>,
     /// Notes of the messages on the way, by the order of sending.
-    notes: Vec<Vec<StrikeNote>>,
+    notes: Vec<Vec<CrashReport>>,
     settings: GossipSettings,
     random: Pcg64Mcg,
 }
@@ -40,10 +40,10 @@
 impl GossipModel {
     fn new(nodes: usize, seed: u64) -> Self {
         let names = (0..nodes).map(|node| node.to_string().into()).collect();
-        let books = (0..nodes).map(|_| SuspectBook::new(SuspectSettings::default())).collect();
+        let books = (0..nodes).map(|_| SuspectTracker::new(SuspectSettings::default())).collect();
         let (queue, notes, settings) = (BinaryHeap::new(), Vec::new(), GossipSettings::default());
         let mut model = Self { books, names, queue, notes, settings, random: Pcg64Mcg::seed_from_u64(seed) };
-        let interval = u64::try_from(model.settings.ask_interval.as_millis()).unwrap();
+        let interval = u64::try_from(model.settings.pull_interval.as_millis()).unwrap();
         for node in 0..nodes {
             let at = model.random.random_range(0..interval);
             model.push(at, node, Message::Ask, Vec::new());
@@ -51,12 +51,12 @@
         model
     }
 
-    fn push(&mut self, at: u64, to: usize, message: Message, notes: Vec<StrikeNote>) {
+    fn push(&mut self, at: u64, to: usize, message: Message, notes: Vec<CrashReport>) {
         self.notes.push(notes);
         self.queue.push(Reverse((at, self.notes.len() as u64 - 1, to, message)));
     }
 
-    fn send(&mut self, now: u64, from: usize, to: &Name, notes: Vec<StrikeNote>, wants_answer: bool) {
+    fn send(&mut self, now: u64, from: usize, to: &Name, notes: Vec<CrashReport>, wants_answer: bool) {
         let delay = self.random.random_range(DELAY_MS);
         self.push(now + delay, to.parse().unwrap(), Message::Strikes { from, wants_answer }, notes);
     }
@@ -65,16 +65,16 @@
         self.names.iter().filter(|name| **name != self.names[node]).cloned().collect()
     }
 
-    fn tell(&mut self, now: u64, node: usize, news: &[StrikeNote]) {
-        for peer in self.settings.pick_told(&self.others(node), &mut self.random) {
+    fn tell(&mut self, now: u64, node: usize, news: &[CrashReport]) {
+        for peer in self.settings.pick_push_peers(&self.others(node), &mut self.random) {
             self.send(now, node, &peer, news.to_vec(), true);
         }
     }
 
-    fn learn(&mut self, now: u64, node: usize, notes: &[StrikeNote]) {
+    fn learn(&mut self, now: u64, node: usize, notes: &[CrashReport]) {
         let at = START + Duration::from_millis(now);
         let book = &mut self.books[node];
-        let news: Vec<StrikeNote> = notes.iter().filter(|note| book.join(at, note)).copied().collect();
+        let news: Vec<CrashReport> = notes.iter().filter(|note| book.join(at, note)).copied().collect();
         if !news.is_empty() {
             self.tell(now, node, &news);
         }
@@ -91,10 +91,10 @@
             let at = START + Duration::from_millis(now);
             match message {
                 Message::Ask => {
-                    let peer = self.settings.pick_asked(&self.others(node), &mut self.random).unwrap();
+                    let peer = self.settings.pick_pull_peer(&self.others(node), &mut self.random).unwrap();
                     let known = self.books[node].notes(at);
                     self.send(now, node, &peer, known, true);
-                    let next = now + u64::try_from(self.settings.ask_interval.as_millis()).unwrap();
+                    let next = now + u64::try_from(self.settings.pull_interval.as_millis()).unwrap();
                     self.push(next, node, Message::Ask, Vec::new());
                 }
                 Message::Strikes { from, wants_answer } => {
@@ -117,16 +117,16 @@
 }
 
 /// Returns the longest time of all seeds, in milliseconds.
-fn slowest(nodes: usize, prepare: impl Fn(&mut GossipModel, &[StrikeNote])) -> u64 {
+fn slowest(nodes: usize, prepare: impl Fn(&mut GossipModel, &[CrashReport])) -> u64 {
     let content = RequestContent { customer: None, host: "h", path: "/x", body: b"fatal" }.fingerprint();
-    let note = |number: u64| StrikeNote {
+    let note = |number: u64| CrashReport {
         fingerprint: content,
         server: server_start(&format!("i-{number}"), number),
         is_trial: true,
         is_void: false,
         age_ms: 0,
     };
-    let notes: Vec<StrikeNote> = (0..ENDS as u64).map(note).collect();
+    let notes: Vec<CrashReport> = (0..ENDS as u64).map(note).collect();
     let times = (0..SEEDS).map(|seed| {
         let mut model = GossipModel::new(nodes, seed);
         prepare(&mut model, &notes);
--- a/crates/trestlerack/tests/suspects.rs
+++ b/crates/trestlerack/tests/suspects.rs
@@ -3,7 +3,7 @@
 use bolero::check;
 use std::time::Duration;
 use trestlerack::process::{
-    ServerEntry, StrikeNote, SuspectBook, SuspectSettings, SuspectStanding, TrialBook, server_start,
+    CrashReport, ServerEntry, SuspectSettings, SuspectState, SuspectTracker, TrialGrants, server_start,
 };
 use trestlerack::request::{RequestContent, RequestFingerprint};
 use trestlerack::{Name, Timestamp};
@@ -28,12 +28,12 @@
     }
 }
 
-fn book() -> SuspectBook {
-    SuspectBook::new(SuspectSettings::default())
+fn book() -> SuspectTracker {
+    SuspectTracker::new(SuspectSettings::default())
 }
 
 /// Sends contents to a server together, which ends under them.
-fn end_under(book: &mut SuspectBook, now: Timestamp, number: u64, contents: &[RequestFingerprint]) {
+fn end_under(book: &mut SuspectTracker, now: Timestamp, number: u64, contents: &[RequestFingerprint]) {
     let server = server(number);
     let runs: Vec<_> = contents.iter().map(|content| (*content, book.sent(now, &server.instance, *content))).collect();
     let trials: Vec<bool> =
@@ -46,15 +46,15 @@
     }
 }
 
-fn join_all(book: &mut SuspectBook, notes: &[StrikeNote]) {
+fn join_all(book: &mut SuspectTracker, notes: &[CrashReport]) {
     for note in notes {
         book.join(NOW, note);
     }
 }
 
 /// Returns whether a content is held once the strikes of now count.
-fn is_held(book: &SuspectBook, content: RequestFingerprint) -> bool {
-    matches!(book.standing(settled(NOW), content), SuspectStanding::Held(_))
+fn is_held(book: &SuspectTracker, content: RequestFingerprint) -> bool {
+    matches!(book.standing(settled(NOW), content), SuspectState::Held(_))
 }
 
 fn settled(now: Timestamp) -> Timestamp {
@@ -70,7 +70,7 @@
     }
     assert!(is_held(&book, fatal));
     let other = fingerprint("other");
-    assert_eq!(book.standing(NOW, other), SuspectStanding::Clear);
+    assert_eq!(book.standing(NOW, other), SuspectState::Clear);
 }
 
 /// The same server start counts once, however many arrivals of the content were there.
@@ -80,7 +80,7 @@
     for _ in 0..5 {
         end_under(&mut book, NOW, 1, &[fatal, fatal]);
     }
-    assert_eq!(book.standing(NOW, fatal), SuspectStanding::Suspected(1));
+    assert_eq!(book.standing(NOW, fatal), SuspectState::Suspected(1));
 }
 
 /// A request that was beside the fatal one at each of its ends has the same strikes. Neither is held
@@ -96,7 +96,7 @@
     assert!(!is_held(&book, bystander), "the fatal one accounts for its strikes");
     book.answered(NOW, bystander);
     assert!(is_held(&book, fatal));
-    assert_eq!(book.standing(NOW, bystander), SuspectStanding::Clear);
+    assert_eq!(book.standing(NOW, bystander), SuspectState::Clear);
 }
 
 /// The node of a bystander knows its strikes at once, those of the fatal request come from another node
@@ -108,11 +108,11 @@
         end_under(&mut book, NOW, number, &[bystander]);
     }
     let soon = NOW + Duration::from_millis(600);
-    assert_eq!(book.standing(soon, bystander), SuspectStanding::Suspected(3));
+    assert_eq!(book.standing(soon, bystander), SuspectState::Suspected(3));
     for number in 1..=3 {
         book.ended_under(soon, fatal, &server(number), true);
     }
-    assert_eq!(book.standing(settled(soon), bystander), SuspectStanding::Suspected(3));
+    assert_eq!(book.standing(settled(soon), bystander), SuspectState::Suspected(3));
     assert_eq!(book.settles_in(soon, fatal), SuspectSettings::default().settle_time);
     assert_eq!(book.settles_in(settled(soon), fatal), Duration::ZERO);
 }
@@ -139,9 +139,9 @@
     for number in 1..=6 {
         book.ended_under(NOW, group, &server(number), false);
     }
-    assert_eq!(book.standing(NOW, group), SuspectStanding::Suspected(6));
+    assert_eq!(book.standing(NOW, group), SuspectState::Suspected(6));
     book.answered(NOW, group);
-    assert_eq!(book.standing(NOW, group), SuspectStanding::Clear);
+    assert_eq!(book.standing(NOW, group), SuspectState::Clear);
 }
 
 /// Requests that ask the same all the time are in progress at most ends.
@@ -157,10 +157,10 @@
 fn a_held_content_may_be_sent_again_after_its_time() {
     let (mut book, fatal) = (book(), fingerprint("fatal"));
     (1..=3).for_each(|number| end_under(&mut book, NOW, number, &[fatal]));
-    let SuspectStanding::Held(left) = book.standing(settled(NOW), fatal) else { panic!("it is held") };
+    let SuspectState::Held(left) = book.standing(settled(NOW), fatal) else { panic!("it is held") };
     let over = NOW + SuspectSettings::default().life;
     assert_eq!(settled(NOW) + left, over);
-    assert_eq!(book.standing(over, fatal), SuspectStanding::Clear);
+    assert_eq!(book.standing(over, fatal), SuspectState::Clear);
     end_under(&mut book, over, 9, &[fingerprint("other")]);
     assert_eq!(book.lines(over).len(), 1, "nothing is kept beyond its time");
 }
@@ -210,21 +210,21 @@
         now = now + apart;
         end_under(&mut book, now, number, &[content]);
     }
-    assert!(matches!(book.standing(settled(now), content), SuspectStanding::Held(_)));
+    assert!(matches!(book.standing(settled(now), content), SuspectState::Held(_)));
 }
 
 /// Whatever nodes hear, in whatever order and how often, they come to the same verdicts.
 #[test]
 fn the_order_of_news_makes_no_difference() {
     check!().with_type::<(Vec<(u8, u8, bool, bool)>, u64)>().for_each(|(news, seed)| {
-        let note = |(content, start, is_trial, is_void): &(u8, u8, bool, bool)| StrikeNote {
+        let note = |(content, start, is_trial, is_void): &(u8, u8, bool, bool)| CrashReport {
             fingerprint: fingerprint(&format!("{}", content % 4)),
             server: server_start(&format!("i-{}", start % 6), 0),
             is_trial: *is_trial,
             is_void: *is_void,
             age_ms: 0,
         };
-        let notes: Vec<StrikeNote> = news.iter().map(note).collect();
+        let notes: Vec<CrashReport> = news.iter().map(note).collect();
         let mut shuffled = notes.clone();
         shuffled.extend(notes.iter().take(3).copied());
         let len = shuffled.len();
@@ -272,7 +272,7 @@
 
 #[test]
 fn a_server_is_given_to_one_suspect_at_a_time() {
-    let (mut trials, server): (TrialBook, Name) = (TrialBook::default(), "i-1".into());
+    let (mut trials, server): (TrialGrants, Name) = (TrialGrants::default(), "i-1".into());
     let (first, second) = (fingerprint("first"), fingerprint("second"));
     assert!(trials.grant(NOW, &server, first));
     assert!(trials.grant(NOW, &server, first), "its node asks again after a lost answer");
--- a/crates/trestlerack/tests/uneven_load.rs
+++ b/crates/trestlerack/tests/uneven_load.rs
@@ -10,7 +10,7 @@
 use std::collections::{BinaryHeap, HashMap, HashSet, VecDeque};
 use std::time::Duration;
 use trestlerack::process::{
-    AttemptReason, RoomSettings, SecondAttempts, ServerBoard, ServerNeed, ServerNote, server_gossip,
+    AttemptReason, RoomSettings, SecondAttempts, ServerBoard, ServerNeed, ServerObservation, server_gossip,
 };
 use trestlerack::{Name, Timestamp};
 
@@ -71,7 +71,7 @@
     server_names: Vec<Name>,
     states: Vec<PlayedServer>,
     queue: BinaryHeap<Reverse<(u64, Event)>>,
-    messages: Vec<Vec<ServerNote>>,
+    messages: Vec<Vec<ServerObservation>>,
     /// Start, first server and end of each call.
     calls: Vec<(u64, usize, Option<u64>)>,
     /// The servers at work on calls that have two, with when each ends.
@@ -283,7 +283,7 @@
             return;
         }
         self.messages.push(notes);
-        for peer in server_gossip().pick_told(&others, &mut self.random) {
+        for peer in server_gossip().pick_push_peers(&others, &mut self.random) {
             if self.random.random_range(0..20) > 0 {
                 let peer = self.names.iter().position(|name| *name == peer).unwrap();
                 let at = now + self.random.random_range(2..40);
--- a/crates/trestlerack/tests/uneven_notes.rs
+++ b/crates/trestlerack/tests/uneven_notes.rs
@@ -7,7 +7,7 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
-use trestlerack::process::{NodeNews, ServerBoard, ServerNeed, ServerNote, ServerStanding, server_gossip};
+use trestlerack::process::{LoadMessage, ServerBoard, ServerNeed, ServerObservation, ServerStanding, server_gossip};
 use trestlerack::{Name, Timestamp};
 
 fn board() -> ServerBoard {
@@ -17,8 +17,16 @@
     board
 }
 
-fn note(server: &str, origin: &str, number: u64, slowness: f32, age_ms: u64) -> ServerNote {
-    ServerNote { instance: server.into(), started_ms: 1, origin: origin.into(), number, slowness, failing: 0.0, age_ms }
+fn note(server: &str, origin: &str, number: u64, slowness: f32, age_ms: u64) -> ServerObservation {
+    ServerObservation {
+        instance: server.into(),
+        started_ms: 1,
+        origin: origin.into(),
+        number,
+        slowness,
+        failing: 0.0,
+        age_ms,
+    }
 }
 
 fn own() -> Name {
@@ -64,7 +72,7 @@
     assert!(!board.learn_note(now, &own(), &note("i-1", "a", 6, 9.0, 0)), "an earlier one");
     assert!(!board.learn_note(now, &own(), &note("i-2", "n", 1, 6.0, 0)), "its own");
     assert!(!board.learn_note(now, &own(), &note("i-9", "a", 8, 6.0, 0)), "an unknown server");
-    let other_start = ServerNote { started_ms: 2, ..note("i-2", "a", 9, 6.0, 0) };
+    let other_start = ServerObservation { started_ms: 2, ..note("i-2", "a", 9, 6.0, 0) };
     assert!(!board.learn_note(now, &own(), &other_start));
     for slowness in [f32::NAN, f32::INFINITY, 0.0, -1.0] {
         assert!(!board.learn_note(now, &own(), &note("i-3", "a", 10, slowness, 0)));
@@ -131,7 +139,7 @@
 struct PlayedNodes {
     boards: Vec<ServerBoard>,
     names: Vec<Name>,
-    in_flight: Vec<(u64, usize, Vec<ServerNote>)>,
+    in_flight: Vec<(u64, usize, Vec<ServerObservation>)>,
     random: StdRng,
     bytes: Vec<usize>,
 }
@@ -151,7 +159,7 @@
         let now = Timestamp(now_ms);
         let (arrived, later) = std::mem::take(&mut self.in_flight).into_iter().partition(|(at, ..)| *at <= now_ms);
         self.in_flight = later;
-        let arrived: Vec<(u64, usize, Vec<ServerNote>)> = arrived;
+        let arrived: Vec<(u64, usize, Vec<ServerObservation>)> = arrived;
         for (_, node, notes) in arrived {
             for note in notes {
                 self.boards[node].learn_note(now, &self.names[node], &note);
@@ -165,13 +173,14 @@
         }
     }
 
-    fn send(&mut self, now_ms: u64, node: usize, notes: &[ServerNote]) {
+    fn send(&mut self, now_ms: u64, node: usize, notes: &[ServerObservation]) {
         if notes.is_empty() {
             return;
         }
         let others: Vec<Name> = self.names.iter().filter(|name| **name != self.names[node]).cloned().collect();
-        for peer in server_gossip().pick_told(&others, &mut self.random) {
-            let news = NodeNews { sender: self.names[node].clone(), servers: notes.to_vec(), ..NodeNews::default() };
+        for peer in server_gossip().pick_push_peers(&others, &mut self.random) {
+            let news =
+                LoadMessage { sender: self.names[node].clone(), servers: notes.to_vec(), ..LoadMessage::default() };
             // No shorter than what is sent.
             self.bytes[node] += serde_json::to_vec(&news).unwrap().len();
             let is_lost = self.random.random_range(0..100) < 5;
--- a/crates/trestlerackd/src/entry/news/mod.rs
+++ b/crates/trestlerackd/src/entry/news/mod.rs
@@ -12,27 +12,27 @@
 use futures_util::future::join_all;
 use std::sync::Arc;
 use trestlerack::Name;
-use trestlerack::process::NodeNews;
+use trestlerack::process::LoadMessage;
 
 /// Takes over what a peer tells, and returns what it asked for.
-pub fn answer_peer(node: &Arc<EntryNode>, news: NodeNews) -> NodeNews {
+pub fn answer_peer(node: &Arc<EntryNode>, news: LoadMessage) -> LoadMessage {
     let is_asking = news.is_empty();
     share_news::learn(node, news.shares);
-    let shares = share_news::answer(node, &news.sender, &news.uses);
+    let shares = share_news::answer(node, &news.sender, &news.usage);
     let servers = server_news::answer(node, news.servers, is_asking);
-    NodeNews { sender: node.settings.name.clone(), shares, servers, ..NodeNews::default() }
+    LoadMessage { sender: node.settings.name.clone(), shares, servers, ..LoadMessage::default() }
 }
 
 /// Tells peers, by their addresses, and takes over their answers. Returns how many answered. To tell
 /// some peers at once without waiting, spawn it.
-pub async fn tell(node: &Arc<EntryNode>, peers: &[Name], news: NodeNews) -> usize {
+pub async fn tell(node: &Arc<EntryNode>, peers: &[Name], news: LoadMessage) -> usize {
     let answers = join_all(peers.iter().map(|peer| exchange(node, peer, news.clone()))).await;
     answers.into_iter().filter(|is_answered| *is_answered).count()
 }
 
 /// Tells a peer and takes over its answer. Returns whether it answered.
-async fn exchange(node: &Arc<EntryNode>, peer: &Name, news: NodeNews) -> bool {
-    let news = NodeNews { sender: node.settings.name.clone(), ..news };
+async fn exchange(node: &Arc<EntryNode>, peer: &Name, news: LoadMessage) -> bool {
+    let news = LoadMessage { sender: node.settings.name.clone(), ..news };
     let Some(answer) = node.peers.tell_news(peer, news).await else { return false };
     share_news::learn(node, answer.shares);
     server_news::learn(node, answer.servers);
--- a/crates/trestlerackd/src/entry/news/server_news.rs
+++ b/crates/trestlerackd/src/entry/news/server_news.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use trestlerack::event;
-use trestlerack::process::{NodeNews, ServerNote, server_gossip};
+use trestlerack::process::{LoadMessage, ServerObservation, server_gossip};
 
 /// Time in which notes are gathered before they are told, so that several share a message. Short beside
 /// the time that a caller waits for an answer.
@@ -28,7 +28,7 @@
 
 /// Takes over what a peer tells, and returns what it may not know: a peer that tells nothing has just
 /// started and asks.
-pub fn answer(node: &Arc<EntryNode>, told: Vec<ServerNote>, is_asking: bool) -> Vec<ServerNote> {
+pub fn answer(node: &Arc<EntryNode>, told: Vec<ServerObservation>, is_asking: bool) -> Vec<ServerObservation> {
     if is_asking {
         let name = &node.settings.name;
         return node.board.lock().unwrap().known_notes(node.now(), name);
@@ -38,7 +38,7 @@
 }
 
 /// Takes over what a peer tells, and passes on what is news.
-pub fn learn(node: &Arc<EntryNode>, told: Vec<ServerNote>) {
+pub fn learn(node: &Arc<EntryNode>, told: Vec<ServerObservation>) {
     let mut has_news = false;
     for note in told {
         let is_news = node.board.lock().unwrap().learn_note(node.now(), &node.settings.name, &note);
@@ -74,8 +74,8 @@
     }
     let own = notes.iter().filter(|note| note.origin == node.settings.name);
     own.for_each(|note| log_changed(node, note));
-    let chosen = server_gossip().pick_told(&node.peers.others(), &mut rand::rng());
-    let news = NodeNews { servers: notes, ..NodeNews::default() };
+    let chosen = server_gossip().pick_push_peers(&node.peers.others(), &mut rand::rng());
+    let news = LoadMessage { servers: notes, ..LoadMessage::default() };
     // A peer that does not answer hears of it from others.
     tell(node, &chosen, news).await;
     is_left
@@ -86,9 +86,9 @@
 pub async fn ask_peer(node: Arc<EntryNode>) {
     let gossip = server_gossip();
     for _ in 0..ASKED_PEERS {
-        let peer = gossip.pick_asked(&node.peers.others(), &mut rand::rng());
+        let peer = gossip.pick_pull_peer(&node.peers.others(), &mut rand::rng());
         if let Some(peer) = peer
-            && exchange(&node, &peer, NodeNews::default()).await
+            && exchange(&node, &peer, LoadMessage::default()).await
         {
             return;
         }
@@ -96,7 +96,7 @@
     }
 }
 
-fn log_changed(node: &EntryNode, note: &ServerNote) {
+fn log_changed(node: &EntryNode, note: &ServerObservation) {
     let standing = node.board.lock().unwrap().standing(node.now(), &note.instance).as_str();
     let slowness = format!("{:.2}", note.slowness);
     let failing = format!("{:.2}", note.failing);
@@ -105,7 +105,7 @@
     logs::write(event::SERVER_JUDGED, &fields);
 }
 
-fn log_told(note: &ServerNote) {
+fn log_told(note: &ServerObservation) {
     let slowness = format!("{:.2}", note.slowness);
     let failing = format!("{:.2}", note.failing);
     let fields: [(&str, &dyn std::fmt::Display); 5] = [
--- a/crates/trestlerackd/src/entry/news/share_news.rs
+++ b/crates/trestlerackd/src/entry/news/share_news.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
-use trestlerack::process::{CustomerUse, NodeNews, ServiceShares};
+use trestlerack::process::{CustomerUsage, LoadMessage, ServiceShares};
 use trestlerack::{Name, event};
 
 /// Interval at which a short service without news is looked at, to log that it no longer is.
@@ -18,7 +18,7 @@
 const MOST_QUESTIONS: u32 = 3;
 
 /// Adds up what customers took at the sender, and returns the shares of its services that are short.
-pub fn answer(node: &Arc<EntryNode>, sender: &Name, uses: &[CustomerUse]) -> Vec<ServiceShares> {
+pub fn answer(node: &Arc<EntryNode>, sender: &Name, uses: &[CustomerUsage]) -> Vec<ServiceShares> {
     let now = node.now();
     let shares = node.shares.add_up(now, sender, uses);
     // A node that is asked because its senders cannot reach the right one knows of their use only, and
@@ -40,9 +40,9 @@
     if shares.is_empty() {
         return;
     }
-    let peers = node.shares.gossip().pick_told(&node.peers.others(), &mut rand::rng());
+    let peers = node.shares.gossip().pick_push_peers(&node.peers.others(), &mut rand::rng());
     let node = node.clone();
-    tokio::spawn(async move { tell(&node, &peers, NodeNews { shares, ..NodeNews::default() }).await });
+    tokio::spawn(async move { tell(&node, &peers, LoadMessage { shares, ..LoadMessage::default() }).await });
 }
 
 /// Tells the nodes that add up what is taken here of services that are short, until the process ends.
@@ -89,7 +89,7 @@
         answer(node, &adder, &uses);
         true
     } else {
-        let news = NodeNews { uses: uses.clone(), ..NodeNews::default() };
+        let news = LoadMessage { usage: uses.clone(), ..LoadMessage::default() };
         match node.peers.get(&adder) {
             Some(row) => tell(node, &[row.address], news).await == 1,
             None => false,
--- a/crates/trestlerackd/src/entry/node.rs
+++ b/crates/trestlerackd/src/entry/node.rs
@@ -25,7 +25,7 @@
 use tokio::sync::{Notify, watch};
 use trestlerack::border::Clock;
 use trestlerack::process::{
-    AnswerTimes, BoardSettings, EndNews, EntrySettings, NodeRow, RegistrySettings, ServerBoard, ServerRegistry,
+    AnswerTimes, BoardSettings, EntrySettings, JobEndFreshness, NodeRow, RegistrySettings, ServerBoard, ServerRegistry,
 };
 use trestlerack::request::JobHead;
 use trestlerack::version::{RoutingTable, WeightVersion};
@@ -119,7 +119,7 @@
     /// Version of this node's row when it was written last; the largest number before.
     pub registered_at: AtomicU64,
     /// How old what is known of ended jobs is.
-    pub end_news: Mutex<EndNews>,
+    pub end_news: Mutex<JobEndFreshness>,
     /// Jobs by id.
     pub jobs: Mutex<HashMap<Name, JobView>>,
     /// Jobs whose end was seen before their head.
--- a/crates/trestlerackd/src/entry/peers.rs
+++ b/crates/trestlerackd/src/entry/peers.rs
@@ -21,7 +21,7 @@
 use trestlerack::Name;
 use trestlerack::border::{Clock, StoreError};
 use trestlerack::process::{
-    DescriptorKind, DescriptorSeat, HeldPurpose, NodeNews, NodeRow, NodeRows, RelayChoice, StrikeNote, UsageNote,
+    CrashReport, DescriptorKind, DescriptorSeat, HeldPurpose, LoadMessage, NodeRow, NodeRows, RelayChoice, UsageNote,
     UsageSender,
 };
 use trestlerack::request::RequestFingerprint;
@@ -64,10 +64,10 @@
     /// Take strikes over, and say which others you know.
     Strikes {
         /// What the caller knows.
-        notes: Vec<StrikeNote>,
+        notes: Vec<CrashReport>,
     },
     /// Take news of load over, and say what the caller asks for.
-    News(NodeNews),
+    News(LoadMessage),
     /// Say what has changed in the store's tables.
     Feed(FeedCall),
     /// Give a server to a suspect, if you keep its trials for nobody else.
@@ -100,9 +100,9 @@
     /// The usage is noted.
     Noted,
     /// Strikes that the caller may not know.
-    Strikes(Vec<StrikeNote>),
+    Strikes(Vec<CrashReport>),
     /// News of load that the caller asked for.
-    News(NodeNews),
+    News(LoadMessage),
     /// Changes of the store's tables.
     Feed(FeedReply),
     /// Whether the server is given to the suspect.
@@ -243,7 +243,7 @@
     }
 
     /// Tells a peer of strikes and returns those that it knows besides; `None` if it does not answer.
-    pub async fn tell_strikes(&self, peer: &Name, notes: &[StrikeNote]) -> Option<Vec<StrikeNote>> {
+    pub async fn tell_strikes(&self, peer: &Name, notes: &[CrashReport]) -> Option<Vec<CrashReport>> {
         match self.ask(peer, &PeerCall::Strikes { notes: notes.to_vec() }, PING_TIMEOUT).await {
             Some(PeerReply::Strikes(notes)) => Some(notes),
             _ => None,
@@ -251,7 +251,7 @@
     }
 
     /// Tells a peer news of load and returns its own; `None` if it does not answer.
-    pub async fn tell_news(&self, peer: &Name, news: NodeNews) -> Option<NodeNews> {
+    pub async fn tell_news(&self, peer: &Name, news: LoadMessage) -> Option<LoadMessage> {
         match self.ask(peer, &PeerCall::News(news), PING_TIMEOUT).await {
             Some(PeerReply::News(news)) => Some(news),
             _ => None,
--- a/crates/trestlerackd/src/entry/shares/desk.rs
+++ b/crates/trestlerackd/src/entry/shares/desk.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 use trestlerack::process::{
-    AdderChoice, CustomerUse, GossipSettings, ServiceShares, ShareAdder, ShareBook, ShareCall, ShareLine,
-    ShareSettings, ShareVerdict,
+    AggregatorSelector, CountedCall, CustomerUsage, GossipSettings, ServiceShares, ShareAggregator, ShareDecision,
+    ShareLimiter, ShareSettings, ShareStatus,
 };
 use trestlerack::{Name, Timestamp, event};
 
@@ -21,9 +21,9 @@
 pub struct ShareDesk {
     settings: ShareSettings,
     node: Name,
-    book: Mutex<ShareBook>,
-    adder: Mutex<ShareAdder>,
-    adders: Mutex<AdderChoice>,
+    book: Mutex<ShareLimiter>,
+    adder: Mutex<ShareAggregator>,
+    adders: Mutex<AggregatorSelector>,
     logged: Mutex<HashMap<Name, Timestamp>>,
     news: Notify,
 }
@@ -34,9 +34,9 @@
         let settings = ShareSettings::default();
         Self {
             settings,
-            book: Mutex::new(ShareBook::new(settings, node.clone(), SystemClock::unix_millis())),
-            adder: Mutex::new(ShareAdder::new(settings)),
-            adders: Mutex::new(AdderChoice::at_startup(now, node.clone())),
+            book: Mutex::new(ShareLimiter::new(settings, node.clone(), SystemClock::unix_millis())),
+            adder: Mutex::new(ShareAggregator::new(settings)),
+            adders: Mutex::new(AggregatorSelector::at_startup(now, node.clone())),
             logged: Mutex::default(),
             news: Notify::new(),
             node,
@@ -44,38 +44,38 @@
     }
 
     /// Counts a call and judges it.
-    pub fn ask(&self, now: Timestamp, service: &Name, customer: &Name, weight: u32) -> ShareVerdict {
+    pub fn ask(&self, now: Timestamp, service: &Name, customer: &Name, weight: u32) -> ShareDecision {
         let (verdict, is_short) = {
             let mut book = self.book.lock().unwrap();
-            (book.ask(now, service, customer, weight), book.is_short(now, service))
+            (book.admit(now, service, customer, weight), book.is_overloaded(now, service))
         };
         self.wake_if(is_short);
         verdict
     }
 
     /// Counts a call that is not refused any more.
-    pub fn count(&self, now: Timestamp, service: &Name, customer: &Name, weight: u32) -> ShareCall {
+    pub fn count(&self, now: Timestamp, service: &Name, customer: &Name, weight: u32) -> CountedCall {
         let (call, is_short) = {
             let mut book = self.book.lock().unwrap();
-            (book.count(now, service, customer, weight), book.is_short(now, service))
+            (book.count(now, service, customer, weight), book.is_overloaded(now, service))
         };
         self.wake_if(is_short);
         call
     }
 
     /// Counts a call that a server did.
-    pub fn give(&self, now: Timestamp, call: &ShareCall, took: Option<Duration>) {
+    pub fn give(&self, now: Timestamp, call: &CountedCall, took: Option<Duration>) {
         let is_short = {
             let mut book = self.book.lock().unwrap();
-            book.give(call, took);
-            book.is_short(now, &call.service)
+            book.record_served(call, took);
+            book.is_overloaded(now, &call.service)
         };
         self.wake_if(is_short);
     }
 
     /// Records that a service has no room for a call.
     pub fn note_short(&self, now: Timestamp, service: &Name) {
-        self.book.lock().unwrap().note_short(now, service);
+        self.book.lock().unwrap().record_overload(now, service);
         self.news.notify_one();
     }
 
@@ -107,18 +107,18 @@
 
     /// Returns the services that are short here, or were lately.
     pub fn short_services(&self, now: Timestamp) -> Vec<Name> {
-        self.book.lock().unwrap().short_services(now)
+        self.book.lock().unwrap().overloaded_services(now)
     }
 
     /// Returns what the adder of a service does not know yet.
-    pub fn untold(&self, now: Timestamp, service: &Name, adder: &Name) -> Vec<CustomerUse> {
-        self.book.lock().unwrap().untold(now, service, adder)
+    pub fn untold(&self, now: Timestamp, service: &Name, adder: &Name) -> Vec<CustomerUsage> {
+        self.book.lock().unwrap().unreported_usage(now, service, adder)
     }
 
     /// Records that an adder took these counts.
-    pub fn told(&self, now: Timestamp, adder: &Name, uses: &[CustomerUse]) {
-        self.adders.lock().unwrap().answered(adder);
-        self.book.lock().unwrap().told(now, uses);
+    pub fn told(&self, now: Timestamp, adder: &Name, uses: &[CustomerUsage]) {
+        self.adders.lock().unwrap().record_answer(adder);
+        self.book.lock().unwrap().acknowledge(now, uses);
     }
 
     /// Returns the node that adds up the use of a service, of those that did not fail to answer lately.
@@ -126,20 +126,20 @@
         if !nodes.contains(&self.node) {
             nodes.push(self.node.clone());
         }
-        self.adders.lock().unwrap().choose(now, service, nodes)
+        self.adders.lock().unwrap().select(now, service, nodes)
     }
 
     /// Records that an adder did not answer.
     pub fn adder_missed(&self, now: Timestamp, service: &Name, adder: &Name) {
-        let is_silent = self.adders.lock().unwrap().missed(now, adder);
+        let is_silent = self.adders.lock().unwrap().record_timeout(now, adder);
         if is_silent {
             logs::write(event::ADDER_SILENT, &[("service", service), ("adder", adder)]);
         }
     }
 
     /// Adds up what a node tells, and returns the shares of its services that are short.
-    pub fn add_up(&self, now: Timestamp, sender: &Name, uses: &[CustomerUse]) -> Vec<ServiceShares> {
-        self.adder.lock().unwrap().answer(now, sender, uses)
+    pub fn add_up(&self, now: Timestamp, sender: &Name, uses: &[CustomerUsage]) -> Vec<ServiceShares> {
+        self.adder.lock().unwrap().add_usage(now, sender, uses)
     }
 
     /// Takes over what an adder answered, and returns what of it peers are to be told.
@@ -148,7 +148,7 @@
             let service = shares.service.clone();
             let (is_changed, count) = {
                 let mut book = self.book.lock().unwrap();
-                (book.learn(now, shares), book.customers_over_share(now, &service))
+                (book.apply_shares(now, shares), book.customers_over_share(now, &service))
             };
             if is_changed && self.may_log(now, &service) {
                 logs::write(event::SHARES_CHANGED, &[("service", &service), ("over_share", &count)]);
@@ -156,7 +156,7 @@
             // The short service is to be noticed, whether there is use to tell or not.
             self.news.notify_one();
         }
-        self.book.lock().unwrap().take_passed(now)
+        self.book.lock().unwrap().take_shares_to_forward(now)
     }
 
     fn may_log(&self, now: Timestamp, service: &Name) -> bool {
@@ -169,7 +169,7 @@
     }
 
     /// Returns the customers that asked for most.
-    pub fn lines(&self, now: Timestamp, most: usize) -> Vec<ShareLine> {
-        self.book.lock().unwrap().lines(now, most)
+    pub fn lines(&self, now: Timestamp, most: usize) -> Vec<ShareStatus> {
+        self.book.lock().unwrap().statuses(now, most)
     }
 }
--- a/crates/trestlerackd/src/entry/shares/mod.rs
+++ b/crates/trestlerackd/src/entry/shares/mod.rs
@@ -13,7 +13,7 @@
 use crate::process::logs;
 use std::sync::Arc;
 use std::time::Duration;
-use trestlerack::process::{ShareCall, ShareVerdict};
+use trestlerack::process::{CountedCall, ShareDecision};
 use trestlerack::version::RequestRoute;
 use trestlerack::{Name, Timestamp, event};
 
@@ -21,12 +21,12 @@
 pub struct CallUse {
     node: Arc<EntryNode>,
     /// The call; `None` where nothing is counted.
-    call: Option<ShareCall>,
+    call: Option<CountedCall>,
     began: Timestamp,
 }
 
 impl CallUse {
-    fn new(node: &Arc<EntryNode>, call: Option<ShareCall>) -> Self {
+    fn new(node: &Arc<EntryNode>, call: Option<CountedCall>) -> Self {
         Self { node: node.clone(), call, began: node.now() }
     }
 
@@ -59,8 +59,8 @@
     let name = customer.map_or_else(|| "".into(), |customer| customer.name.clone());
     let weight = customer.map_or(1, |customer| customer.weight);
     match node.shares.ask(node.now(), service, &name, weight) {
-        ShareVerdict::Admitted(call) => Ok(CallUse::new(node, Some(call))),
-        ShareVerdict::OverShare(returns) => {
+        ShareDecision::Admitted(call) => Ok(CallUse::new(node, Some(call))),
+        ShareDecision::OverShare(returns) => {
             let request_id = id.map_or("", |id| id);
             let fields: [(&str, &dyn std::fmt::Display); 4] = [
                 ("request", &request_id),
--- a/crates/trestlerackd/src/entry/status.rs
+++ b/crates/trestlerackd/src/entry/status.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 use std::time::Duration;
 use trestlerack::Name;
-use trestlerack::process::{ServerLine, ShareLine, SuspectLine, SuspectStanding};
+use trestlerack::process::{ServerLine, ShareStatus, SuspectState, SuspectStatus};
 
 /// Path of the list of customers.
 const CUSTOMERS_PATH: &str = "/v1/customers";
@@ -144,8 +144,8 @@
 }
 
 fn shares(node: &EntryNode) -> Vec<ShareEntry> {
-    let entry = |line: ShareLine| {
-        let ShareLine { service, customer, asked_ms, given_ms, part } = line;
+    let entry = |line: ShareStatus| {
+        let ShareStatus { service, customer, requested_ms: asked_ms, served_ms: given_ms, fraction: part } = line;
         ShareEntry { service, customer, asked_ms, given_ms, part }
     };
     node.shares.lines(node.now(), MOST_SHARES).into_iter().map(entry).collect()
@@ -153,13 +153,13 @@
 
 fn suspects(node: &EntryNode) -> Vec<SuspectEntry> {
     let lines = node.suspects.book().lines(node.now());
-    let entry = |line: &SuspectLine| {
+    let entry = |line: &SuspectStatus| {
         let (standing, left) = match line.standing {
-            SuspectStanding::Held(left) => ("held", left),
-            SuspectStanding::Suspected(_) => ("suspected", Duration::ZERO),
-            SuspectStanding::Clear => ("clear", Duration::ZERO),
+            SuspectState::Held(left) => ("held", left),
+            SuspectState::Suspected(_) => ("suspected", Duration::ZERO),
+            SuspectState::Clear => ("clear", Duration::ZERO),
         };
-        let SuspectLine { ended, unexplained, .. } = *line;
+        let SuspectStatus { ended, unexplained, .. } = *line;
         let fingerprint = line.fingerprint.to_string();
         SuspectEntry { fingerprint, standing, left_s: left.as_secs(), ended, unexplained }
     };
--- a/crates/trestlerackd/src/entry/suspects/desk.rs
+++ b/crates/trestlerackd/src/entry/suspects/desk.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 use trestlerack::Timestamp;
-use trestlerack::process::{EntrySettings, NEWS_LAG, StrikeNote, SuspectBook, SuspectSettings, TrialBook};
+use trestlerack::process::{CrashReport, DISCOVERY_LAG, EntrySettings, SuspectSettings, SuspectTracker, TrialGrants};
 use trestlerack::request::RequestFingerprint;
 
 /// Strikes that wait to be stored, at most. In an outage as long as a strike's life, ends of a server a
@@ -30,10 +30,10 @@
 
 /// What a node knows of suspects, and what of it other nodes are still to be told.
 pub struct SuspectDesk {
-    book: Mutex<SuspectBook>,
-    trials: Mutex<TrialBook>,
+    book: Mutex<SuspectTracker>,
+    trials: Mutex<TrialGrants>,
     unstored: Mutex<BTreeMap<StrikeKey, RowChange>>,
-    untold: Mutex<Vec<StrikeNote>>,
+    untold: Mutex<Vec<CrashReport>>,
     pub(super) has_unstored: Notify,
     pub(super) has_untold: Notify,
     /// Whether the watch of the system's rows brings no news, or has brought none yet.
@@ -45,9 +45,10 @@
 impl SuspectDesk {
     /// Builds a desk that suspects nobody.
     pub fn new(settings: &EntrySettings) -> Self {
-        let settings = SuspectSettings { doubt_life: settings.lapse_time() + NEWS_LAG, ..SuspectSettings::default() };
+        let settings =
+            SuspectSettings { doubt_life: settings.lapse_time() + DISCOVERY_LAG, ..SuspectSettings::default() };
         Self {
-            book: Mutex::new(SuspectBook::new(settings)),
+            book: Mutex::new(SuspectTracker::new(settings)),
             trials: Mutex::default(),
             unstored: Mutex::default(),
             untold: Mutex::default(),
@@ -59,12 +60,12 @@
     }
 
     /// Gives access to the book; nothing else is to be locked meanwhile.
-    pub fn book(&self) -> MutexGuard<'_, SuspectBook> {
+    pub fn book(&self) -> MutexGuard<'_, SuspectTracker> {
         self.book.lock().unwrap()
     }
 
     /// Gives access to the trials that this node keeps for all.
-    pub(super) fn trials(&self) -> MutexGuard<'_, TrialBook> {
+    pub(super) fn trials(&self) -> MutexGuard<'_, TrialGrants> {
         self.trials.lock().unwrap()
     }
 
@@ -89,7 +90,7 @@
     }
 
     /// Queues strikes for the store; while that is out of reach, for peers as well.
-    pub(super) fn publish(&self, now: Timestamp, notes: &[StrikeNote]) {
+    pub(super) fn publish(&self, now: Timestamp, notes: &[CrashReport]) {
         if notes.is_empty() {
             return;
         }
@@ -109,7 +110,7 @@
     }
 
     /// Queues strikes for peers.
-    pub(super) fn tell(&self, notes: &[StrikeNote]) {
+    pub(super) fn tell(&self, notes: &[CrashReport]) {
         let mut untold = self.untold.lock().unwrap();
         untold.extend_from_slice(notes);
         let surplus = untold.len().saturating_sub(MOST_TOLD);
@@ -119,7 +120,7 @@
     }
 
     /// Takes the strikes that peers are to be told.
-    pub(super) fn take_untold(&self) -> Vec<StrikeNote> {
+    pub(super) fn take_untold(&self) -> Vec<CrashReport> {
         std::mem::take(&mut *self.untold.lock().unwrap())
     }
 
--- a/crates/trestlerackd/src/entry/suspects/gossip.rs
+++ b/crates/trestlerackd/src/entry/suspects/gossip.rs
@@ -7,13 +7,13 @@
 use futures_util::future::join_all;
 use std::sync::Arc;
 use trestlerack::Name;
-use trestlerack::process::{GossipSettings, StrikeNote};
+use trestlerack::process::{CrashReport, GossipSettings};
 
 /// Takes over what a peer tells, and returns what it may not know.
-pub fn answer_peer(node: &Arc<EntryNode>, told: &[StrikeNote]) -> Vec<StrikeNote> {
+pub fn answer_peer(node: &Arc<EntryNode>, told: &[CrashReport]) -> Vec<CrashReport> {
     let known = newest_notes(node);
     learn_from_peer(node, told);
-    let is_untold = |note: &StrikeNote| {
+    let is_untold = |note: &CrashReport| {
         !told.iter().any(|told| {
             let is_same = told.fingerprint == note.fingerprint && told.server == note.server;
             is_same && told.is_trial == note.is_trial && told.is_void == note.is_void
@@ -25,7 +25,7 @@
 /// Takes over what a peer told. A node that the store serves stores it, because the peer may not be able
 /// to. Another one passes it on and leaves storing to the node that saw the end: once the store is
 /// back, all nodes would write the same rows at one moment.
-fn learn_from_peer(node: &Arc<EntryNode>, told: &[StrikeNote]) {
+fn learn_from_peer(node: &Arc<EntryNode>, told: &[CrashReport]) {
     let news = join(node, told, StrikeSource::Peer);
     if news.is_empty() {
         return;
@@ -37,7 +37,7 @@
     }
 }
 
-pub(super) fn newest_notes(node: &EntryNode) -> Vec<StrikeNote> {
+pub(super) fn newest_notes(node: &EntryNode) -> Vec<CrashReport> {
     let mut notes = node.suspects.book().notes(node.now());
     notes.sort_by_key(|note| note.age_ms);
     notes.truncate(MOST_TOLD);
@@ -50,12 +50,12 @@
     loop {
         node.suspects.has_untold.notified().await;
         let notes = node.suspects.take_untold();
-        let chosen = gossip.pick_told(&node.peers.others(), &mut rand::rng());
+        let chosen = gossip.pick_push_peers(&node.peers.others(), &mut rand::rng());
         join_all(chosen.iter().map(|peer| exchange(&node, peer, &notes))).await;
     }
 }
 
-async fn exchange(node: &Arc<EntryNode>, peer: &Name, notes: &[StrikeNote]) {
+async fn exchange(node: &Arc<EntryNode>, peer: &Name, notes: &[CrashReport]) {
     // A peer that does not answer hears of it from others, or asks for it.
     if let Some(answer) = node.peers.tell_strikes(peer, notes).await {
         learn_from_peer(node, &answer);
@@ -68,11 +68,11 @@
     let gossip = GossipSettings::default();
     loop {
         if node.suspects.is_cut_off() {
-            let peer = gossip.pick_asked(&node.peers.others(), &mut rand::rng());
+            let peer = gossip.pick_pull_peer(&node.peers.others(), &mut rand::rng());
             if let Some(peer) = peer {
                 exchange(&node, &peer, &newest_notes(&node)).await;
             }
         }
-        clock::sleep(gossip.ask_interval).await;
+        clock::sleep(gossip.pull_interval).await;
     }
 }
--- a/crates/trestlerackd/src/entry/suspects/mod.rs
+++ b/crates/trestlerackd/src/entry/suspects/mod.rs
@@ -21,7 +21,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use trestlerack::event;
-use trestlerack::process::{ServerEntry, ServerNeed, StrikeNote, SuspectStanding};
+use trestlerack::process::{CrashReport, ServerEntry, ServerNeed, SuspectState};
 use trestlerack::request::RequestFingerprint;
 
 /// Where a node heard of a strike.
@@ -45,8 +45,8 @@
 /// Returns for how long a content is not to be sent to servers, if it is held.
 pub fn held_for(node: &EntryNode, fingerprint: RequestFingerprint) -> Option<Duration> {
     match node.suspects.book().standing(node.now(), fingerprint) {
-        SuspectStanding::Held(left) => Some(left),
-        SuspectStanding::Clear | SuspectStanding::Suspected(_) => None,
+        SuspectState::Held(left) => Some(left),
+        SuspectState::Clear | SuspectState::Suspected(_) => None,
     }
 }
 
@@ -61,28 +61,28 @@
         let book = node.suspects.book();
         (book.standing(now, fingerprint), book.shared_servers(fingerprint))
     };
-    if standing == SuspectStanding::Clear || shared.is_empty() {
+    if standing == SuspectState::Clear || shared.is_empty() {
         return choose(need);
     }
     let avoid = [need.avoid, &shared].concat();
     let apart = choose(&ServerNeed { avoid: &avoid, ..need.clone() });
     match standing {
-        SuspectStanding::Suspected(1) => apart.or_else(|| choose(need)),
+        SuspectState::Suspected(1) => apart.or_else(|| choose(need)),
         _ => apart,
     }
 }
 
 /// Returns whether servers ended under a content, so that it gets no second server beside the first.
 pub fn is_suspect(node: &EntryNode, fingerprint: RequestFingerprint) -> bool {
-    node.suspects.book().standing(node.now(), fingerprint) != SuspectStanding::Clear
+    node.suspects.book().standing(node.now(), fingerprint) != SuspectState::Clear
 }
 
 /// Returns whether more than one server ended under a content.
 pub fn is_repeated(node: &EntryNode, fingerprint: RequestFingerprint) -> bool {
     match node.suspects.book().standing(node.now(), fingerprint) {
-        SuspectStanding::Clear => false,
-        SuspectStanding::Suspected(ended) => ended > 1,
-        SuspectStanding::Held(_) => true,
+        SuspectState::Clear => false,
+        SuspectState::Suspected(ended) => ended > 1,
+        SuspectState::Held(_) => true,
     }
 }
 
@@ -92,9 +92,9 @@
     let now = node.now();
     let book = node.suspects.book();
     match book.standing(now, fingerprint) {
-        SuspectStanding::Clear | SuspectStanding::Suspected(1) => Duration::ZERO,
-        SuspectStanding::Suspected(_) => book.settles_in(now, fingerprint),
-        SuspectStanding::Held(left) => left,
+        SuspectState::Clear | SuspectState::Suspected(1) => Duration::ZERO,
+        SuspectState::Suspected(_) => book.settles_in(now, fingerprint),
+        SuspectState::Held(left) => left,
     }
 }
 
@@ -127,7 +127,7 @@
     ];
     logs::write(event::SERVER_ENDED, &fields);
     node.metrics.server_ended();
-    let notes: Vec<StrikeNote> = note.into_iter().collect();
+    let notes: Vec<CrashReport> = note.into_iter().collect();
     log_standing(node, &notes, StrikeSource::Own);
     node.suspects.publish(now, &notes);
 }
@@ -158,7 +158,7 @@
 }
 
 /// Logs the contents that strikes which are news here turn into held ones, once they count.
-fn log_standing(node: &Arc<EntryNode>, news: &[StrikeNote], source: StrikeSource) {
+fn log_standing(node: &Arc<EntryNode>, news: &[CrashReport], source: StrikeSource) {
     let mut contents: Vec<RequestFingerprint> = news.iter().map(|note| note.fingerprint).collect();
     contents.dedup();
     // With fewer there is no hold to wait for.
@@ -181,10 +181,10 @@
 }
 
 /// Takes over strikes; returns those that are news here.
-fn join(node: &Arc<EntryNode>, notes: &[StrikeNote], source: StrikeSource) -> Vec<StrikeNote> {
+fn join(node: &Arc<EntryNode>, notes: &[CrashReport], source: StrikeSource) -> Vec<CrashReport> {
     let now = node.now();
     let mut book = node.suspects.book();
-    let news: Vec<StrikeNote> = notes.iter().filter(|note| book.join(now, note)).copied().collect();
+    let news: Vec<CrashReport> = notes.iter().filter(|note| book.join(now, note)).copied().collect();
     drop(book);
     log_standing(node, &news, source);
     news
--- a/crates/trestlerackd/src/entry/suspects/rows.rs
+++ b/crates/trestlerackd/src/entry/suspects/rows.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use trestlerack::border::StoreError;
-use trestlerack::process::{StrikeNote, SuspectSettings, failure_pause};
+use trestlerack::process::{CrashReport, SuspectSettings, failure_pause};
 use trestlerack::request::RequestFingerprint;
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall, StoreReply, StoredRow};
 use trestlerack::time::millis;
@@ -66,7 +66,7 @@
     let strike: StrikeRow = tables::decode(&row.value)?;
     let age_ms = node.store.clock_ms().saturating_sub(strike.at_ms);
     let StrikeRow { fingerprint, server, is_trial, .. } = strike;
-    join(node, &[StrikeNote { fingerprint, server, is_trial, is_void: false, age_ms }], StrikeSource::Store);
+    join(node, &[CrashReport { fingerprint, server, is_trial, is_void: false, age_ms }], StrikeSource::Store);
     Ok(())
 }
 
--- a/crates/trestlerackd/src/entry/suspects/trials.rs
+++ b/crates/trestlerackd/src/entry/suspects/trials.rs
@@ -4,7 +4,7 @@
 //! just started, or does not answer, keeps none, and the suspect is then alone only as far as its own
 //! node knows.
 
-use super::SuspectStanding;
+use super::SuspectState;
 use crate::entry::node::EntryNode;
 use crate::entry::server_ticket::ServerTicket;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 /// under which several servers ended may not be sent where another one is tried.
 pub async fn ask_trial(node: &Arc<EntryNode>, ticket: &ServerTicket) -> bool {
     let standing = node.suspects.book().standing(node.now(), ticket.fingerprint);
-    let SuspectStanding::Suspected(ended) = standing else { return true };
+    let SuspectState::Suspected(ended) = standing else { return true };
     // A run on an engine lasts longer than a trial, and a step has many: they would wait for each other.
     if ended == 1 || !ticket.server.models.is_empty() {
         return true;
--- a/crates/trestlerackd/src/process/member_loop.rs
+++ b/crates/trestlerackd/src/process/member_loop.rs
@@ -109,7 +109,7 @@
         alive.map(|update| update.peer).filter(|peer| peer.name != *node.name()).collect()
     };
     let names: Vec<Name> = alive.iter().map(|peer| peer.name.clone()).collect();
-    let told = gossip.pick_told(&names, &mut rand::rng());
+    let told = gossip.pick_push_peers(&names, &mut rand::rng());
     for peer in alive.into_iter().filter(|peer| told.contains(&peer.name)) {
         tokio::spawn(probe(node.clone(), peer));
     }
--- a/crates/trestlerackd/src/request/content_gate.rs
+++ b/crates/trestlerackd/src/request/content_gate.rs
@@ -1,6 +1,6 @@
 //! Holds contents under which backend servers ended, on the daemon's own interface.
 //!
-//! The decisions are those of the entry service ([`SuspectBook`]). Nodes tell each other of strikes with
+//! The decisions are those of the entry service ([`SuspectTracker`]). Nodes tell each other of strikes with
 //! their probes, so a node that starts or returns knows them with its first one. News is told at once:
 //! with the probes of each interval only, the next arrival of a content came before its strikes.
 
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 use trestlerack::hash::hash_parts;
-use trestlerack::process::{GossipSettings, StrikeNote, SuspectBook, SuspectSettings, SuspectStanding};
+use trestlerack::process::{CrashReport, GossipSettings, SuspectSettings, SuspectState, SuspectTracker};
 use trestlerack::request::RequestFingerprint;
 use trestlerack::verdict::Reason;
 use trestlerack::{Failure, Name, Verdict, event};
@@ -35,17 +35,17 @@
 
 /// What this node knows of contents under which backend servers ended.
 pub struct ContentGate {
-    book: Mutex<SuspectBook>,
+    book: Mutex<SuspectTracker>,
 }
 
 impl Default for ContentGate {
     fn default() -> Self {
-        Self { book: Mutex::new(SuspectBook::new(SuspectSettings::default())) }
+        Self { book: Mutex::new(SuspectTracker::new(SuspectSettings::default())) }
     }
 }
 
 impl ContentGate {
-    fn book(&self) -> MutexGuard<'_, SuspectBook> {
+    fn book(&self) -> MutexGuard<'_, SuspectTracker> {
         self.book.lock().unwrap()
     }
 }
@@ -69,7 +69,7 @@
     let now = node.now();
     // Taken before it is looked at: the refusal asks the book too.
     let standing = node.gate.book().standing(now, send.content);
-    if let SuspectStanding::Held(left) = standing {
+    if let SuspectState::Held(left) = standing {
         return Err(refuse(node, &send, left));
     }
     let run = node.gate.book().sent(now, send.backend, send.content);
@@ -131,7 +131,7 @@
 }
 
 /// Returns the strikes that travel with a probe.
-pub fn probe_strikes(node: &Node) -> Vec<StrikeNote> {
+pub fn probe_strikes(node: &Node) -> Vec<CrashReport> {
     let mut notes = node.gate.book().notes(node.now());
     notes.sort_by_key(|note| note.age_ms);
     notes.truncate(PROBE_STRIKES);
@@ -139,7 +139,7 @@
 }
 
 /// Takes over the strikes that came with a probe.
-pub fn hear_strikes(node: &Arc<Node>, notes: &[StrikeNote]) {
+pub fn hear_strikes(node: &Arc<Node>, notes: &[CrashReport]) {
     let now = node.now();
     let mut book = node.gate.book();
     let news = notes.iter().filter(|note| book.join(now, note)).count();
