--- a/crates/trestlerack/src/process/suspects/gossip.rs
+++ b/crates/trestlerack/src/process/suspects/gossip.rs
@@ -1,17 +1,18 @@
-//! How nodes tell each other of strikes while the store does not serve them.
+//! Gossip between nodes: crash reports while the store does not serve them, server observations and customer
+//! shares.
 
 use crate::Name;
 use rand::Rng;
 use rand::seq::IndexedRandom;
 use std::time::Duration;
 
-/// Settings of the gossip about strikes.
+/// Settings of a gossip protocol.
 #[derive(Clone, Debug)]
 pub struct GossipSettings {
-    /// Peers that are told at once of what is news. With three, news reaches most of 300 nodes in six
-    /// steps; one node in twenty hears of it by asking.
+    /// Number of peers to which new information is pushed at once. With three, it reaches most of 300 nodes in six
+    /// steps; one node in twenty gets it only by pulling.
     pub fanout: usize,
-    /// Interval at which a node that the store does not serve asks a peer for its strikes.
+    /// Interval at which a node that the store does not serve pulls crash reports from a peer.
     pub pull_interval: Duration,
 }
 
@@ -22,12 +23,12 @@
 }
 
 impl GossipSettings {
-    /// Returns the peers that are to be told at once.
+    /// Returns random peers to push new information to.
     pub fn pick_push_peers(&self, peers: &[Name], random: &mut impl Rng) -> Vec<Name> {
         peers.choose_multiple(random, self.fanout).cloned().collect()
     }
 
-    /// Returns the peer that is to be asked.
+    /// Returns a random peer to pull from.
     pub fn pick_pull_peer(&self, peers: &[Name], random: &mut impl Rng) -> Option<Name> {
         peers.choose(random).cloned()
     }
--- a/crates/trestlerack/src/process/suspects/mod.rs
+++ b/crates/trestlerack/src/process/suspects/mod.rs
@@ -1,15 +1,19 @@
-//! Requests under which backend servers ended, so that one that ends each server is not sent to ever
-//! new ones.
+//! Tracks requests under which backend servers crash, so that a request that crashes every server is not sent to
+//! more of them.
 //!
-//! A server that ends takes everything with it that it works on, so an end alone blames nobody. Each
-//! content that was in progress there gets a strike for it. Strikes are shared by all nodes; joining
-//! them in any order, any number of times, comes to the same. A content is held once enough servers
-//! ended under it that no other content accounts for, one of them on a trial: it was sent there as a
-//! known suspect, with no other suspect beside it. Strikes count once those of others have had the time to
-//! arrive. A whole answer voids a content's strikes. Where several contents end servers and few servers are
-//! left, they account for each other's ends; an end on a trial that no other content had there is then
-//! enough, with as many ends in all.
-//! [docs/PLATFORM.md](../../../../../docs/PLATFORM.md#requests-that-end-servers) has the reasons.
+//! A crash interrupts all requests on a server, so a single crash does not show which request caused it. Each
+//! request content that was in progress there gets a crash report. All nodes share these reports, and merging them
+//! in any order, any number of times, gives the same result.
+//!
+//! A content is blocked once enough servers crashed under it whose crashes no other content explains. One of these
+//! crashes must have happened on a trial: a run of a known suspect on a server that ran no other suspect. Crashes
+//! count after a settle time, in which reports about other contents can arrive. A complete answer clears the
+//! crashes of its content.
+//!
+//! Several contents may crash servers while few servers are left, so that each explains crashes of the others. A
+//! content is then also blocked if the same number of servers crashed under it in total and one crash happened on a
+//! trial that no other content had on that server.
+//! [docs/PLATFORM.md](../../../../../docs/PLATFORM.md#requests-that-end-servers) explains the reasons.
 
 mod gossip;
 mod runs;
@@ -26,89 +30,91 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
-use suspect_record::{Strike, SuspectRecord};
+use suspect_record::{Crash, SuspectRecord};
 pub use trial_grants::TrialGrants;
 
 /// Settings of a [`SuspectTracker`].
 #[derive(Clone, Debug)]
 pub struct SuspectSettings {
-    /// Ended servers from which a content is held. Two may be chance where several servers end at
-    /// once, and each further one is a server that other callers miss for seconds.
-    pub held_from: usize,
-    /// Time after which a strike counts towards a hold. Until then the strikes of other contents at the same
-    /// server, which account for it, may still be on their way: they take 0.64 s to 300 nodes without the
-    /// store. A bystander was held in a test beside 20 busy processes before there was such a time.
+    /// Number of crashes from which a content is blocked. Two may be a coincidence when several servers crash at
+    /// once, and each further crash takes a server away from other callers for seconds.
+    pub block_threshold: usize,
+    /// Age from which a crash counts towards blocking a content. Reports about other contents on the same server,
+    /// which may explain the crash, can arrive until then: without the store they take 0.64 s to reach 300 nodes.
+    /// Without this delay a bystander was blocked in a test that ran beside 20 busy processes.
     pub settle_time: Duration,
-    /// Time since the last strike after which a content is forgotten, and may be sent again.
-    pub life: Duration,
-    /// Time after a whole answer in which ends are no strikes of its content: a content that is sent
-    /// all the time is in progress at most ends, and was answered just before.
-    pub sound_life: Duration,
-    /// Time in which service discovery may still tell that a server ended whose connection broke: what
-    /// an entry takes to lapse, and [`DISCOVERY_LAG`].
-    pub doubt_life: Duration,
-    /// Contents kept at most; each takes some 100 bytes and 30 for each strike.
-    pub most_suspects: usize,
-    /// Strikes kept of one content at most.
-    pub most_strikes: usize,
-    /// Contents kept at most of those that were answered last, and of breaks that are in doubt.
-    pub most_recent: usize,
+    /// Time since the last crash after which a content is forgotten and may be sent again.
+    pub retention: Duration,
+    /// Time after a complete answer during which crashes are not attributed to the content. A content that is sent
+    /// all the time is in progress at most crashes and was answered just before.
+    pub answered_grace: Duration,
+    /// How long service discovery may take to report that the server of a broken connection crashed: the time until
+    /// an entry expires plus [`DISCOVERY_LAG`].
+    pub unresolved_ttl: Duration,
+    /// Maximum number of tracked contents. Each takes some 100 bytes, and 30 for each crash.
+    pub max_suspects: usize,
+    /// Maximum number of crashes kept for one content.
+    pub max_crashes: usize,
+    /// Maximum number of recently answered contents that are remembered, and of unresolved disconnects.
+    pub max_recent: usize,
 }
 
-/// Time by which news of a lapsed entry may be late here: the pause of a watch, a slow store's answer, and
-/// the work that the server still did for a client that had left. Reckoned; a longer one blames
-/// requests for ends that came after them.
+/// How late an expired entry may be noticed at this node: the interval of a watch, the answer of a slow store, and
+/// the work that the server still did for a client that had disconnected. A longer lag attributes crashes to
+/// requests that ended before them.
 pub const DISCOVERY_LAG: Duration = Duration::from_millis(1_400);
 
 impl Default for SuspectSettings {
     fn default() -> Self {
         Self {
-            held_from: 3,
+            block_threshold: 3,
             settle_time: Duration::from_millis(700),
-            life: Duration::from_secs(600),
-            sound_life: Duration::from_secs(10),
-            doubt_life: Duration::from_millis(3_600) + DISCOVERY_LAG,
-            most_suspects: 512,
-            most_strikes: 16,
-            most_recent: 256,
+            retention: Duration::from_secs(600),
+            answered_grace: Duration::from_secs(10),
+            unresolved_ttl: Duration::from_millis(3_600) + DISCOVERY_LAG,
+            max_suspects: 512,
+            max_crashes: 16,
+            max_recent: 256,
         }
     }
 }
 
-/// What nodes tell each other of one strike.
+/// Report of one crash, as nodes exchange it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// What was asked for.
+    /// Fingerprint of the request content.
     pub fingerprint: RequestFingerprint,
-    /// The start of the server that ended; see [`server_start`].
-    pub server: u64,
-    /// Whether it was sent there as a known suspect, alone.
+    /// Digest of the start of the crashed server; see [`server_start`].
+    #[serde(rename = "server")]
+    pub server_start: u64,
+    /// Whether the content was a known suspect and ran there without other suspects.
     pub is_trial: bool,
-    /// Whether a whole answer has shown since that the content ends no servers.
-    pub is_void: bool,
-    /// Time since the end of the server, in milliseconds.
+    /// Whether a complete answer has since shown that the content does not crash servers.
+    #[serde(rename = "is_void")]
+    pub is_cleared: bool,
+    /// Time since the crash, in milliseconds.
     pub age_ms: u64,
 }
 
-/// Returns a digest that tells each start of a server from any other.
+/// Returns a digest that identifies one start of a server.
 pub fn server_start(instance: &str, started_ms: u64) -> u64 {
     hash_parts(&[instance, &started_ms.to_string()])
 }
 
-/// How a content stands.
+/// State of a request content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SuspectState {
-    /// No server ended under it, as far as is known.
+    /// No server is known to have crashed under it.
     Clear,
-    /// So many servers ended under it.
+    /// This number of servers crashed under it.
     Suspected(usize),
-    /// It is not sent to servers for so long.
-    Held(Duration),
+    /// It is not sent to servers for this long.
+    Blocked(Duration),
 }
 
-/// A break whose server may have ended.
+/// A broken connection whose server may have crashed.
 #[derive(Clone, Debug)]
-struct OpenDoubt {
+struct UnresolvedDisconnect {
     fingerprint: RequestFingerprint,
     instance: Name,
     started_ms: u64,
@@ -116,241 +122,263 @@
     at: Timestamp,
 }
 
-/// A suspect, as operators are shown it.
+/// A suspect, for the status pages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SuspectStatus {
-    /// What is asked for.
+    /// Fingerprint of the request content.
     pub fingerprint: RequestFingerprint,
-    /// How it stands.
-    pub standing: SuspectState,
-    /// Servers that ended under it.
-    pub ended: usize,
-    /// Those of them that no other content accounts for.
+    /// State of the content.
+    pub state: SuspectState,
+    /// Number of servers that crashed under it.
+    pub crashes: usize,
+    /// Number of these crashes that no other content explains.
     pub unexplained: usize,
 }
 
-/// What a node knows of requests under which servers ended.
+/// Crashes of servers that this node knows of, by the request content that was in progress.
 #[derive(Debug, Default)]
 pub struct SuspectTracker {
     settings: SuspectSettings,
     records: HashMap<RequestFingerprint, SuspectRecord>,
-    /// Contents that were answered whole, and when, oldest first.
-    sound: VecDeque<(RequestFingerprint, Timestamp)>,
-    doubts: VecDeque<OpenDoubt>,
+    /// Contents with a complete answer and the time of the answer, oldest first.
+    recently_answered: VecDeque<(RequestFingerprint, Timestamp)>,
+    unresolved: VecDeque<UnresolvedDisconnect>,
     runs: SuspectRuns,
 }
 
 impl SuspectTracker {
-    /// Builds a book that suspects nobody.
+    /// Creates a tracker without suspects.
     pub fn new(settings: SuspectSettings) -> Self {
         Self { settings, ..Self::default() }
     }
 
-    /// Records that a server ended as it worked on a request. Returns the strike, to be told to the
-    /// other nodes, if it is news and counts.
-    pub fn ended_under(
+    /// Records that a server crashed while it ran a request. Returns the report for the other nodes if it is new and
+    /// counts.
+    pub fn record_crash(
         &mut self,
         now: Timestamp,
         fingerprint: RequestFingerprint,
         server: &ServerEntry,
         is_trial: bool,
     ) -> Option<CrashReport> {
-        self.ended_at(now, fingerprint, server_start(&server.instance, server.started_ms), is_trial)
+        self.record_crash_by_start(now, fingerprint, server_start(&server.instance, server.started_ms), is_trial)
     }
 
-    /// The same for a server whose start the caller tells apart by a digest of its own.
-    pub fn ended_at(
+    /// Records a crash like [`SuspectTracker::record_crash`], for callers that compute their own digest of the
+    /// server's start.
+    pub fn record_crash_by_start(
         &mut self,
         now: Timestamp,
         fingerprint: RequestFingerprint,
-        server: u64,
+        server_start: u64,
         is_trial: bool,
     ) -> Option<CrashReport> {
-        if self.is_sound(now, fingerprint) {
+        if self.was_answered_recently(now, fingerprint) {
             return None;
         }
-        let note = CrashReport { fingerprint, server, is_trial, is_void: false, age_ms: 0 };
-        self.join(now, &note).then_some(note)
+        let report = CrashReport { fingerprint, server_start, is_trial, is_cleared: false, age_ms: 0 };
+        self.merge(now, &report).then_some(report)
     }
 
-    /// Takes over a strike. Returns whether it says anything new.
-    pub fn join(&mut self, now: Timestamp, note: &CrashReport) -> bool {
+    /// Merges a report. Returns whether it contained anything new.
+    pub fn merge(&mut self, now: Timestamp, report: &CrashReport) -> bool {
         self.expire(now);
-        let at = now - Duration::from_millis(note.age_ms);
-        if now.since(at) >= self.settings.life {
+        let at = now - Duration::from_millis(report.age_ms);
+        if now.since(at) >= self.settings.retention {
             return false;
         }
-        let most_strikes = self.settings.most_strikes;
-        let record = self.records.entry(note.fingerprint).or_default();
-        let is_news =
-            record.join(note.server, Strike { at, is_trial: note.is_trial, is_void: note.is_void }, most_strikes);
+        let max_crashes = self.settings.max_crashes;
+        let record = self.records.entry(report.fingerprint).or_default();
+        let is_new = record.merge(
+            report.server_start,
+            Crash { at, is_trial: report.is_trial, is_cleared: report.is_cleared },
+            max_crashes,
+        );
         self.evict();
-        is_news
+        is_new
     }
 
-    /// Records that the removal of a strike's row was seen: it is void.
-    pub fn void(&mut self, fingerprint: RequestFingerprint, server: u64) {
+    /// Clears a crash whose row was removed from the store.
+    pub fn clear(&mut self, fingerprint: RequestFingerprint, server_start: u64) {
         if let Some(record) = self.records.get_mut(&fingerprint) {
-            record.void(server);
+            record.clear(server_start);
         }
     }
 
-    /// Records that a server answered a request whole. Returns the strikes that are void by that.
-    pub fn answered(&mut self, now: Timestamp, fingerprint: RequestFingerprint) -> Vec<CrashReport> {
-        self.sound.push_back((fingerprint, now));
-        if self.sound.len() > self.settings.most_recent {
-            self.sound.pop_front();
+    /// Records that a server answered a request completely. Returns the reports of the crashes that this clears.
+    pub fn record_answer(&mut self, now: Timestamp, fingerprint: RequestFingerprint) -> Vec<CrashReport> {
+        self.recently_answered.push_back((fingerprint, now));
+        if self.recently_answered.len() > self.settings.max_recent {
+            self.recently_answered.pop_front();
         }
         let Some(record) = self.records.get_mut(&fingerprint) else { return Vec::new() };
-        let live: Vec<u64> = record.live().map(|(server, _)| *server).collect();
-        live.iter().for_each(|server| record.void(*server));
-        record.notes(now, fingerprint).filter(|note| live.contains(&note.server)).collect()
+        let active: Vec<u64> = record.active().map(|(server_start, _)| *server_start).collect();
+        active.iter().for_each(|server_start| record.clear(*server_start));
+        record.reports(now, fingerprint).filter(|report| active.contains(&report.server_start)).collect()
     }
 
-    fn is_sound(&self, now: Timestamp, fingerprint: RequestFingerprint) -> bool {
-        let recent = self.sound.iter().rev().take_while(|(_, at)| now.since(*at) < self.settings.sound_life);
-        recent.into_iter().any(|(sound, _)| *sound == fingerprint)
+    fn was_answered_recently(&self, now: Timestamp, fingerprint: RequestFingerprint) -> bool {
+        let recent =
+            self.recently_answered.iter().rev().take_while(|(_, at)| now.since(*at) < self.settings.answered_grace);
+        recent.into_iter().any(|(answered, _)| *answered == fingerprint)
     }
 
-    /// Records a break of which nobody could tell whether the server ended.
-    pub fn doubt(&mut self, now: Timestamp, fingerprint: RequestFingerprint, server: &ServerEntry, is_trial: bool) {
+    /// Records a broken connection of which it is unknown whether the server crashed.
+    pub fn record_unresolved(
+        &mut self,
+        now: Timestamp,
+        fingerprint: RequestFingerprint,
+        server: &ServerEntry,
+        is_trial: bool,
+    ) {
         let (instance, started_ms) = (server.instance.clone(), server.started_ms);
-        self.doubts.push_back(OpenDoubt { fingerprint, instance, started_ms, is_trial, at: now });
-        if self.doubts.len() > self.settings.most_recent {
-            self.doubts.pop_front();
+        self.unresolved.push_back(UnresolvedDisconnect { fingerprint, instance, started_ms, is_trial, at: now });
+        if self.unresolved.len() > self.settings.max_recent {
+            self.unresolved.pop_front();
         }
     }
 
-    /// Returns whether a break waits for what service discovery tells.
-    pub fn has_doubts(&self) -> bool {
-        !self.doubts.is_empty()
+    /// Returns whether a broken connection waits for service discovery to show whether its server crashed.
+    pub fn has_unresolved(&self) -> bool {
+        !self.unresolved.is_empty()
     }
 
-    /// Records that service discovery lost a server that had not asked to leave, or lists a later
-    /// start of it. Returns the strikes of the breaks that this explains.
-    pub fn server_gone(&mut self, now: Timestamp, server: &ServerEntry) -> Vec<CrashReport> {
-        let life = self.settings.doubt_life;
-        self.doubts.retain(|doubt| now.since(doubt.at) < life);
-        let is_of = |doubt: &OpenDoubt| doubt.instance == server.instance && doubt.started_ms == server.started_ms;
-        let (settled, open): (Vec<OpenDoubt>, Vec<OpenDoubt>) = self.doubts.drain(..).partition(is_of);
-        self.doubts = open.into();
-        let strikes =
-            settled.iter().filter_map(|doubt| self.ended_under(now, doubt.fingerprint, server, doubt.is_trial));
-        strikes.collect()
+    /// Records that a server that had not asked to leave disappeared from service discovery, or is listed with a
+    /// later start. Returns reports of the crashes that broke connections to it.
+    pub fn resolve_server_gone(&mut self, now: Timestamp, server: &ServerEntry) -> Vec<CrashReport> {
+        let unresolved_ttl = self.settings.unresolved_ttl;
+        self.unresolved.retain(|disconnect| now.since(disconnect.at) < unresolved_ttl);
+        let is_of = |disconnect: &UnresolvedDisconnect| {
+            disconnect.instance == server.instance && disconnect.started_ms == server.started_ms
+        };
+        let (resolved, unresolved): (Vec<UnresolvedDisconnect>, Vec<UnresolvedDisconnect>) =
+            self.unresolved.drain(..).partition(is_of);
+        self.unresolved = unresolved.into();
+        let reports = resolved
+            .iter()
+            .filter_map(|disconnect| self.record_crash(now, disconnect.fingerprint, server, disconnect.is_trial));
+        reports.collect()
     }
 
-    /// Returns how a content stands.
-    pub fn standing(&self, now: Timestamp, fingerprint: RequestFingerprint) -> SuspectState {
+    /// Returns the state of a content.
+    pub fn state(&self, now: Timestamp, fingerprint: RequestFingerprint) -> SuspectState {
         let Some(record) = self.records.get(&fingerprint) else { return SuspectState::Clear };
-        let (ended, left) = (record.live().count(), self.life_left(now, record));
-        if ended == 0 || left.is_zero() {
+        let (crash_count, time_left) = (record.active().count(), self.retention_left(now, record));
+        if crash_count == 0 || time_left.is_zero() {
             return SuspectState::Clear;
         }
-        let is_settled = |strike: &Strike| now.since(strike.at) >= self.settings.settle_time;
+        let is_settled = |crash: &Crash| now.since(crash.at) >= self.settings.settle_time;
         let mut unexplained = self.unexplained(now, fingerprint, record);
         unexplained.retain(is_settled);
-        let is_tried = unexplained.iter().any(|strike| strike.is_trial);
-        let is_sole_cause = unexplained.len() >= self.settings.held_from && is_tried;
-        let settled = record.live().filter(|(_, strike)| is_settled(strike));
-        let (mut ends, mut lone_trials) = (0, 0);
-        for (server, strike) in settled {
-            ends += 1;
-            lone_trials += usize::from(strike.is_trial && !self.is_tried_by_other(fingerprint, *server));
+        let has_trial = unexplained.iter().any(|crash| crash.is_trial);
+        let is_sole_cause = unexplained.len() >= self.settings.block_threshold && has_trial;
+        let settled = record.active().filter(|(_, crash)| is_settled(crash));
+        let (mut settled_crashes, mut lone_trials) = (0, 0);
+        for (server_start, crash) in settled {
+            settled_crashes += 1;
+            lone_trials += usize::from(crash.is_trial && !self.has_other_trial(fingerprint, *server_start));
         }
-        if is_sole_cause || (ends >= self.settings.held_from && lone_trials > 0) {
-            return SuspectState::Held(left);
+        if is_sole_cause || (settled_crashes >= self.settings.block_threshold && lone_trials > 0) {
+            return SuspectState::Blocked(time_left);
         }
-        SuspectState::Suspected(ended)
+        SuspectState::Suspected(crash_count)
     }
 
-    /// Returns whether another content ended a server on a trial too, so that neither had it for itself.
-    fn is_tried_by_other(&self, own: RequestFingerprint, server: u64) -> bool {
+    /// Returns whether the server also crashed on a trial of another content, so that neither ran there alone.
+    fn has_other_trial(&self, own: RequestFingerprint, server_start: u64) -> bool {
         let mut others = self.records.iter().filter(|(other, _)| **other != own);
-        others.any(|(_, record)| record.live().any(|(struck, strike)| *struck == server && strike.is_trial))
+        others.any(|(_, record)| {
+            record.active().any(|(other_start, crash)| *other_start == server_start && crash.is_trial)
+        })
     }
 
-    /// Returns how many servers ended under a content, as far as it was not cleared since.
-    pub fn ended(&self, fingerprint: RequestFingerprint) -> usize {
-        self.records.get(&fingerprint).map_or(0, |record| record.live().count())
+    /// Returns the number of servers that crashed under a content, without cleared crashes.
+    pub fn crash_count(&self, fingerprint: RequestFingerprint) -> usize {
+        self.records.get(&fingerprint).map_or(0, |record| record.active().count())
     }
 
-    /// Returns how long the last strike of a content takes yet to count.
-    pub fn settles_in(&self, now: Timestamp, fingerprint: RequestFingerprint) -> Duration {
-        let last = self.records.get(&fingerprint).and_then(|record| record.live().map(|(_, strike)| strike.at).max());
+    /// Returns the time until the last crash of a content counts.
+    pub fn time_to_settle(&self, now: Timestamp, fingerprint: RequestFingerprint) -> Duration {
+        let last = self.records.get(&fingerprint).and_then(|record| record.active().map(|(_, crash)| crash.at).max());
         last.map_or(Duration::ZERO, |at| self.settings.settle_time.saturating_sub(now.since(at)))
     }
 
-    fn life_left(&self, now: Timestamp, record: &SuspectRecord) -> Duration {
-        self.settings.life.saturating_sub(now.since(record.last_at()))
+    fn retention_left(&self, now: Timestamp, record: &SuspectRecord) -> Duration {
+        self.settings.retention.saturating_sub(now.since(record.last_crash_at()))
     }
 
-    /// Returns the strikes that no other content accounts for: one under which as many servers ended or
-    /// more, this one among them. Two contents with the same strikes account for each other, and the
-    /// next trial, which each makes alone, tells them apart.
-    fn unexplained(&self, now: Timestamp, own: RequestFingerprint, record: &SuspectRecord) -> Vec<Strike> {
-        let ended = record.live().count();
-        let is_rival = |(other, held): &(&RequestFingerprint, &SuspectRecord)| {
-            **other != own && held.live().count() >= ended && !self.life_left(now, held).is_zero()
+    /// Returns the crashes that no other content explains. A content explains a crash if it was in progress at it and
+    /// at least as many servers crashed under it in total. Two contents with the same crashes explain each other
+    /// until a trial, which each makes alone, tells them apart.
+    fn unexplained(&self, now: Timestamp, own: RequestFingerprint, record: &SuspectRecord) -> Vec<Crash> {
+        let crash_count = record.active().count();
+        let can_explain = |(other, other_record): &(&RequestFingerprint, &SuspectRecord)| {
+            **other != own
+                && other_record.active().count() >= crash_count
+                && !self.retention_left(now, other_record).is_zero()
         };
-        let rivals: Vec<&SuspectRecord> = self.records.iter().filter(is_rival).map(|(_, held)| held).collect();
-        let is_explained = |server: &u64| rivals.iter().any(|rival| rival.is_struck(*server));
-        record.live().filter(|(server, _)| !is_explained(server)).map(|(_, strike)| *strike).collect()
+        let explaining_records: Vec<&SuspectRecord> =
+            self.records.iter().filter(can_explain).map(|(_, other_record)| other_record).collect();
+        let is_explained =
+            |server_start: &u64| explaining_records.iter().any(|other_record| other_record.has_crash(*server_start));
+        record.active().filter(|(server_start, _)| !is_explained(server_start)).map(|(_, crash)| *crash).collect()
     }
 
-    /// Records that a request is sent to a server. Returns the run to name at its end, if its content is
-    /// suspected.
-    pub fn sent(&mut self, now: Timestamp, server: &Name, fingerprint: RequestFingerprint) -> Option<SuspectRun> {
-        let is_suspect = self.standing(now, fingerprint) != SuspectState::Clear;
+    /// Records that a request is sent to a server. Returns the run, to be passed to [`SuspectTracker::end_run`], if
+    /// the content is suspected.
+    pub fn begin_run(&mut self, now: Timestamp, server: &Name, fingerprint: RequestFingerprint) -> Option<SuspectRun> {
+        let is_suspect = self.state(now, fingerprint) != SuspectState::Clear;
         is_suspect.then(|| self.runs.begin(server, fingerprint))
     }
 
-    /// Returns whether a run is a trial: no other suspect of this node was beside it.
+    /// Returns whether a run is a trial: no other suspect of this node ran on the server at the same time.
     pub fn is_trial(&self, server: &str, run: SuspectRun) -> bool {
         self.runs.is_alone(server, run)
     }
 
-    /// Records that a server no longer works on a suspect.
-    pub fn returned(&mut self, server: &str, run: SuspectRun) {
+    /// Records that a server no longer runs a suspect.
+    pub fn end_run(&mut self, server: &str, run: SuspectRun) {
         self.runs.end(server, run);
     }
 
-    /// Returns the servers that work on other suspects of this node, where a suspect would not be alone.
-    pub fn shared_servers(&self, fingerprint: RequestFingerprint) -> Vec<Name> {
-        self.runs.with_others(fingerprint)
+    /// Returns the servers that run other suspects of this node, where a suspect would not be alone.
+    pub fn servers_with_other_suspects(&self, fingerprint: RequestFingerprint) -> Vec<Name> {
+        self.runs.servers_with_others(fingerprint)
     }
 
-    /// Returns every strike that is kept, void ones included, for a node that may have missed some.
-    pub fn notes(&self, now: Timestamp) -> Vec<CrashReport> {
-        self.records.iter().flat_map(|(fingerprint, record)| record.notes(now, *fingerprint)).collect()
+    /// Returns all kept reports, including cleared ones, for a node that may have missed some.
+    pub fn reports(&self, now: Timestamp) -> Vec<CrashReport> {
+        self.records.iter().flat_map(|(fingerprint, record)| record.reports(now, *fingerprint)).collect()
     }
 
-    /// Returns the suspects, those under which most servers ended first.
-    pub fn lines(&self, now: Timestamp) -> Vec<SuspectStatus> {
-        let line = |(fingerprint, record): (&RequestFingerprint, &SuspectRecord)| SuspectStatus {
+    /// Returns the suspects, those with most crashes first.
+    pub fn statuses(&self, now: Timestamp) -> Vec<SuspectStatus> {
+        let status = |(fingerprint, record): (&RequestFingerprint, &SuspectRecord)| SuspectStatus {
             fingerprint: *fingerprint,
-            standing: self.standing(now, *fingerprint),
-            ended: record.live().count(),
+            state: self.state(now, *fingerprint),
+            crashes: record.active().count(),
             unexplained: self.unexplained(now, *fingerprint, record).len(),
         };
-        let mut lines: Vec<SuspectStatus> = self.records.iter().map(line).filter(|line| line.ended > 0).collect();
-        lines.sort_by_key(|line| (std::cmp::Reverse(line.ended), line.fingerprint));
-        lines
+        let mut statuses: Vec<SuspectStatus> =
+            self.records.iter().map(status).filter(|status| status.crashes > 0).collect();
+        statuses.sort_by_key(|status| (std::cmp::Reverse(status.crashes), status.fingerprint));
+        statuses
     }
 
     fn expire(&mut self, now: Timestamp) {
-        let life = self.settings.life;
-        self.records.retain(|_, record| now.since(record.last_at()) < life);
+        let retention = self.settings.retention;
+        self.records.retain(|_, record| now.since(record.last_crash_at()) < retention);
     }
 
-    /// Forgets the content with the fewest strikes, of these the one that was struck longest ago, while
-    /// there are too many.
+    /// Forgets contents while there are too many: those with the fewest crashes first, and among these the one that
+    /// crashed a server longest ago.
     fn evict(&mut self) {
-        while self.records.len() > self.settings.most_suspects {
-            let weight = |(fingerprint, record): (&RequestFingerprint, &SuspectRecord)| {
-                (record.live().count(), record.last_at(), *fingerprint)
+        while self.records.len() > self.settings.max_suspects {
+            let eviction_key = |(fingerprint, record): (&RequestFingerprint, &SuspectRecord)| {
+                (record.active().count(), record.last_crash_at(), *fingerprint)
             };
-            let Some((_, _, least)) = self.records.iter().map(weight).min() else { return };
-            self.records.remove(&least);
+            let Some((_, _, evicted)) = self.records.iter().map(eviction_key).min() else { return };
+            self.records.remove(&evicted);
         }
     }
 }
--- a/crates/trestlerack/src/process/suspects/suspect_record.rs
+++ b/crates/trestlerack/src/process/suspects/suspect_record.rs
@@ -1,84 +1,87 @@
-//! The strikes of one content.
+//! Crashes of one request content.
 
 use super::CrashReport;
 use crate::request::RequestFingerprint;
 use crate::{Timestamp, time::millis};
 use std::collections::BTreeMap;
 
-/// A server that ended under a content.
+/// Crash of a server that ran the content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Strike {
-    /// When, on this node's clock.
+pub(super) struct Crash {
+    /// Time of the crash on this node's clock.
     pub(super) at: Timestamp,
     pub(super) is_trial: bool,
-    pub(super) is_void: bool,
+    pub(super) is_cleared: bool,
 }
 
-/// The strikes of one content, by the start of the server that ended.
+/// Crashes of one content, by the digest of the crashed server's start.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SuspectRecord {
-    strikes: BTreeMap<u64, Strike>,
+    crashes: BTreeMap<u64, Crash>,
 }
 
 impl SuspectRecord {
-    /// Joins a strike with what is known of the same server. Returns whether that says anything new.
-    pub(super) fn join(&mut self, server: u64, strike: Strike, most: usize) -> bool {
-        let Some(held) = self.strikes.get_mut(&server) else {
-            if self.strikes.len() >= most && !self.drop_void() {
+    /// Merges a crash with the one known for the same server start. Returns whether it contained anything new.
+    pub(super) fn merge(&mut self, server_start: u64, crash: Crash, max_crashes: usize) -> bool {
+        let Some(known) = self.crashes.get_mut(&server_start) else {
+            if self.crashes.len() >= max_crashes && !self.remove_oldest_cleared() {
                 return false;
             }
-            self.strikes.insert(server, strike);
+            self.crashes.insert(server_start, crash);
             return true;
         };
-        // Only ever from false to true, so that the order in which nodes tell makes no difference.
-        let joined =
-            Strike { at: held.at, is_trial: held.is_trial || strike.is_trial, is_void: held.is_void || strike.is_void };
-        let is_news = joined != *held;
-        *held = joined;
-        is_news
+        // The flags only change from false to true, so the order in which reports arrive makes no difference.
+        let merged = Crash {
+            at: known.at,
+            is_trial: known.is_trial || crash.is_trial,
+            is_cleared: known.is_cleared || crash.is_cleared,
+        };
+        let is_new = merged != *known;
+        *known = merged;
+        is_new
     }
 
-    /// Forgets the oldest void strike, so that a content that was sound for long can still be held once
-    /// it ends servers. Returns whether there was one.
-    fn drop_void(&mut self) -> bool {
-        let void = self.strikes.iter().filter(|(_, strike)| strike.is_void);
-        let Some((server, _)) = void.min_by_key(|(_, strike)| strike.at) else { return false };
-        let server = *server;
-        self.strikes.remove(&server);
+    /// Removes the oldest cleared crash. Otherwise a content that was harmless for long could not be blocked once it
+    /// crashes servers. Returns whether there was one.
+    fn remove_oldest_cleared(&mut self) -> bool {
+        let cleared = self.crashes.iter().filter(|(_, crash)| crash.is_cleared);
+        let Some((server_start, _)) = cleared.min_by_key(|(_, crash)| crash.at) else { return false };
+        let server_start = *server_start;
+        self.crashes.remove(&server_start);
         true
     }
 
-    pub(super) fn void(&mut self, server: u64) {
-        if let Some(strike) = self.strikes.get_mut(&server) {
-            strike.is_void = true;
+    pub(super) fn clear(&mut self, server_start: u64) {
+        if let Some(crash) = self.crashes.get_mut(&server_start) {
+            crash.is_cleared = true;
         }
     }
 
-    /// Returns the strikes that count.
-    pub(super) fn live(&self) -> impl Iterator<Item = (&u64, &Strike)> {
-        self.strikes.iter().filter(|(_, strike)| !strike.is_void)
+    /// Returns the crashes that were not cleared.
+    pub(super) fn active(&self) -> impl Iterator<Item = (&u64, &Crash)> {
+        self.crashes.iter().filter(|(_, crash)| !crash.is_cleared)
     }
 
-    pub(super) fn is_struck(&self, server: u64) -> bool {
-        self.strikes.get(&server).is_some_and(|strike| !strike.is_void)
+    pub(super) fn has_crash(&self, server_start: u64) -> bool {
+        self.crashes.get(&server_start).is_some_and(|crash| !crash.is_cleared)
     }
 
-    /// Returns when the last server ended.
-    pub(super) fn last_at(&self) -> Timestamp {
-        self.strikes.values().map(|strike| strike.at).max().unwrap_or_default()
+    /// Returns the time of the last crash.
+    pub(super) fn last_crash_at(&self) -> Timestamp {
+        self.crashes.values().map(|crash| crash.at).max().unwrap_or_default()
     }
 
-    pub(super) fn notes(
+    pub(super) fn reports(
         &self,
         now: Timestamp,
         fingerprint: RequestFingerprint,
     ) -> impl Iterator<Item = CrashReport> + '_ {
-        self.strikes.iter().map(move |(server, strike)| CrashReport {
+        self.crashes.iter().map(move |(server_start, crash)| CrashReport {
             fingerprint,
-            server: *server,
-            is_trial: strike.is_trial,
-            is_void: strike.is_void,
-            age_ms: millis(now.since(strike.at)),
+            server_start: *server_start,
+            is_trial: crash.is_trial,
+            is_cleared: crash.is_cleared,
+            age_ms: millis(now.since(crash.at)),
         })
     }
 }
--- a/crates/trestlerack/src/process/suspects/trial_grants.rs
+++ b/crates/trestlerack/src/process/suspects/trial_grants.rs
@@ -1,26 +1,26 @@
-//! Decides which suspect has a server for itself, over all nodes.
+//! Grants each server to one suspect at a time, for trials of all nodes.
 
 use crate::request::RequestFingerprint;
 use crate::{Name, Timestamp};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time for which a suspect has a server for itself. Most calls are answered within it; a longer one may
-/// get company, and its end then proves less.
-const TRIAL_TIME: Duration = Duration::from_secs(1);
+/// How long a suspect has a server without other suspects. Most calls are answered within this time. During a
+/// longer call another suspect may be sent to the server, and a crash then proves less.
+const TRIAL_DURATION: Duration = Duration::from_secs(1);
 
-/// The suspects that have a server for themselves, as the node knows that keeps these servers' trials.
+/// Suspects that currently have a server for their trial. One node keeps the grants of a server for all nodes.
 #[derive(Debug, Default)]
 pub struct TrialGrants {
     servers: BTreeMap<Name, (RequestFingerprint, Timestamp)>,
 }
 
 impl TrialGrants {
-    /// Gives a server to a content, unless another one has it. The same content may ask again, as its node
-    /// does after a lost answer.
+    /// Grants a server to a content unless another content has it. The same content may ask again, which its node
+    /// does if an answer was lost.
     pub fn grant(&mut self, now: Timestamp, server: &Name, fingerprint: RequestFingerprint) -> bool {
         self.servers.retain(|_, (_, until)| *until > now);
-        let held = *self.servers.entry(server.clone()).or_insert((fingerprint, now + TRIAL_TIME));
-        held.0 == fingerprint
+        let granted = *self.servers.entry(server.clone()).or_insert((fingerprint, now + TRIAL_DURATION));
+        granted.0 == fingerprint
     }
 }
--- a/crates/trestlerack/tests/suspects.rs
+++ b/crates/trestlerack/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests under which servers ended: who is held, who is not, and what is kept of them.
+//! Requests under which servers crash: which contents are blocked, which are not, and how much is kept of them.
 
 use bolero::check;
 use std::time::Duration;
@@ -28,33 +28,34 @@
     }
 }
 
-fn book() -> SuspectTracker {
+fn tracker() -> SuspectTracker {
     SuspectTracker::new(SuspectSettings::default())
 }
 
-/// Sends contents to a server together, which ends under them.
-fn end_under(book: &mut SuspectTracker, now: Timestamp, number: u64, contents: &[RequestFingerprint]) {
+/// Sends the contents to a server at the same time and crashes it under them.
+fn crash_under(tracker: &mut SuspectTracker, now: Timestamp, number: u64, contents: &[RequestFingerprint]) {
     let server = server(number);
-    let runs: Vec<_> = contents.iter().map(|content| (*content, book.sent(now, &server.instance, *content))).collect();
+    let runs: Vec<_> =
+        contents.iter().map(|content| (*content, tracker.begin_run(now, &server.instance, *content))).collect();
     let trials: Vec<bool> =
-        runs.iter().map(|(_, run)| run.is_some_and(|run| book.is_trial(&server.instance, run))).collect();
+        runs.iter().map(|(_, run)| run.is_some_and(|run| tracker.is_trial(&server.instance, run))).collect();
     for ((content, run), is_trial) in runs.into_iter().zip(trials) {
-        book.ended_under(now, content, &server, is_trial);
+        tracker.record_crash(now, content, &server, is_trial);
         if let Some(run) = run {
-            book.returned(&server.instance, run);
+            tracker.end_run(&server.instance, run);
         }
     }
 }
 
-fn join_all(book: &mut SuspectTracker, notes: &[CrashReport]) {
-    for note in notes {
-        book.join(NOW, note);
+fn merge_all(tracker: &mut SuspectTracker, reports: &[CrashReport]) {
+    for report in reports {
+        tracker.merge(NOW, report);
     }
 }
 
-/// Returns whether a content is held once the strikes of now count.
-fn is_held(book: &SuspectTracker, content: RequestFingerprint) -> bool {
-    matches!(book.standing(settled(NOW), content), SuspectState::Held(_))
+/// Returns whether a content is blocked once crashes at `NOW` count.
+fn is_blocked(tracker: &SuspectTracker, content: RequestFingerprint) -> bool {
+    matches!(tracker.state(settled(NOW), content), SuspectState::Blocked(_))
 }
 
 fn settled(now: Timestamp) -> Timestamp {
@@ -62,216 +63,219 @@
 }
 
 #[test]
-fn three_ends_hold_a_content_and_fewer_do_not() {
-    let (mut book, fatal) = (book(), fingerprint("fatal"));
+fn three_crashes_block_a_content_and_fewer_do_not() {
+    let (mut tracker, fatal) = (tracker(), fingerprint("fatal"));
     for number in 1..=3 {
-        assert!(!is_held(&book, fatal), "after {} ends", number - 1);
-        end_under(&mut book, NOW, number, &[fatal]);
+        assert!(!is_blocked(&tracker, fatal), "after {} crashes", number - 1);
+        crash_under(&mut tracker, NOW, number, &[fatal]);
     }
-    assert!(is_held(&book, fatal));
+    assert!(is_blocked(&tracker, fatal));
     let other = fingerprint("other");
-    assert_eq!(book.standing(NOW, other), SuspectState::Clear);
+    assert_eq!(tracker.state(NOW, other), SuspectState::Clear);
 }
 
-/// The same server start counts once, however many arrivals of the content were there.
+/// A crash counts once, no matter how often the content was in progress on the server.
 #[test]
-fn one_end_is_one_strike() {
-    let (mut book, fatal) = (book(), fingerprint("fatal"));
+fn a_crash_counts_once() {
+    let (mut tracker, fatal) = (tracker(), fingerprint("fatal"));
     for _ in 0..5 {
-        end_under(&mut book, NOW, 1, &[fatal, fatal]);
+        crash_under(&mut tracker, NOW, 1, &[fatal, fatal]);
     }
-    assert_eq!(book.standing(NOW, fatal), SuspectState::Suspected(1));
+    assert_eq!(tracker.state(NOW, fatal), SuspectState::Suspected(1));
 }
 
-/// A request that was beside the fatal one at each of its ends has the same strikes. Neither is held
-/// until a trial, which each makes alone, tells them apart.
+/// A content that was in progress at every crash of the fatal one has the same crashes. Neither is blocked until a
+/// trial, which each makes alone, tells them apart.
 #[test]
-fn a_bystander_of_every_end_is_not_held() {
-    let (mut book, fatal, bystander) = (book(), fingerprint("fatal"), fingerprint("bystander"));
+fn a_bystander_of_every_crash_is_not_blocked() {
+    let (mut tracker, fatal, bystander) = (tracker(), fingerprint("fatal"), fingerprint("bystander"));
     for number in 1..=3 {
-        end_under(&mut book, NOW, number, &[fatal, bystander]);
+        crash_under(&mut tracker, NOW, number, &[fatal, bystander]);
     }
-    assert!(!is_held(&book, fatal) && !is_held(&book, bystander));
-    end_under(&mut book, NOW, 4, &[fatal]);
-    assert!(!is_held(&book, bystander), "the fatal one accounts for its strikes");
-    book.answered(NOW, bystander);
-    assert!(is_held(&book, fatal));
-    assert_eq!(book.standing(NOW, bystander), SuspectState::Clear);
+    assert!(!is_blocked(&tracker, fatal) && !is_blocked(&tracker, bystander));
+    crash_under(&mut tracker, NOW, 4, &[fatal]);
+    assert!(!is_blocked(&tracker, bystander), "the fatal content explains its crashes");
+    tracker.record_answer(NOW, bystander);
+    assert!(is_blocked(&tracker, fatal));
+    assert_eq!(tracker.state(NOW, bystander), SuspectState::Clear);
 }
 
-/// The node of a bystander knows its strikes at once, those of the fatal request come from another node
-/// a moment later, and so it seems alone to blame in between.
+/// The node of the bystander knows its crashes at once and receives those of the fatal content from another node a
+/// moment later. Until then no other content explains the crashes.
 #[test]
-fn a_bystander_is_not_held_before_the_strikes_of_others_have_come() {
-    let (mut book, fatal, bystander) = (book(), fingerprint("fatal"), fingerprint("bystander"));
+fn a_bystander_is_not_blocked_before_the_reports_of_others_arrive() {
+    let (mut tracker, fatal, bystander) = (tracker(), fingerprint("fatal"), fingerprint("bystander"));
     for number in 1..=3 {
-        end_under(&mut book, NOW, number, &[bystander]);
+        crash_under(&mut tracker, NOW, number, &[bystander]);
     }
-    let soon = NOW + Duration::from_millis(600);
-    assert_eq!(book.standing(soon, bystander), SuspectState::Suspected(3));
+    let before_settled = NOW + Duration::from_millis(600);
+    assert_eq!(tracker.state(before_settled, bystander), SuspectState::Suspected(3));
     for number in 1..=3 {
-        book.ended_under(soon, fatal, &server(number), true);
+        tracker.record_crash(before_settled, fatal, &server(number), true);
     }
-    assert_eq!(book.standing(settled(soon), bystander), SuspectState::Suspected(3));
-    assert_eq!(book.settles_in(soon, fatal), SuspectSettings::default().settle_time);
-    assert_eq!(book.settles_in(settled(soon), fatal), Duration::ZERO);
+    assert_eq!(tracker.state(settled(before_settled), bystander), SuspectState::Suspected(3));
+    assert_eq!(tracker.time_to_settle(before_settled, fatal), SuspectSettings::default().settle_time);
+    assert_eq!(tracker.time_to_settle(settled(before_settled), fatal), Duration::ZERO);
 }
 
 #[test]
-fn a_suspect_is_kept_apart_from_the_others() {
-    let (mut book, fatal, bystander) = (book(), fingerprint("fatal"), fingerprint("bystander"));
-    end_under(&mut book, NOW, 1, &[fatal, bystander]);
+fn a_suspect_avoids_servers_of_other_suspects() {
+    let (mut tracker, fatal, bystander) = (tracker(), fingerprint("fatal"), fingerprint("bystander"));
+    crash_under(&mut tracker, NOW, 1, &[fatal, bystander]);
     let busy: Name = "i-2".into();
-    let run = book.sent(NOW, &busy, fatal).unwrap();
-    assert_eq!(book.shared_servers(bystander), std::slice::from_ref(&busy));
-    assert!(book.shared_servers(fatal).is_empty(), "it may be where it is already");
-    assert!(book.is_trial(&busy, run));
-    let beside = book.sent(NOW, &busy, bystander).unwrap();
-    assert!(!book.is_trial(&busy, run) && !book.is_trial(&busy, beside), "from now on neither is alone");
-    book.returned(&busy, run);
-    assert!(!book.is_trial(&busy, beside), "it was not alone all the while");
+    let run = tracker.begin_run(NOW, &busy, fatal).unwrap();
+    assert_eq!(tracker.servers_with_other_suspects(bystander), std::slice::from_ref(&busy));
+    assert!(tracker.servers_with_other_suspects(fatal).is_empty(), "it may run again on the same server");
+    assert!(tracker.is_trial(&busy, run));
+    let bystander_run = tracker.begin_run(NOW, &busy, bystander).unwrap();
+    assert!(!tracker.is_trial(&busy, run) && !tracker.is_trial(&busy, bystander_run), "neither is alone from now on");
+    tracker.end_run(&busy, run);
+    assert!(!tracker.is_trial(&busy, bystander_run), "it was not alone during the whole run");
 }
 
-/// Many servers that end at once, for a reason of their own, take the samples of a group with them.
+/// Many servers that crash at once for another reason interrupt all samples of a group.
 #[test]
-fn ends_at_one_moment_hold_nobody_before_a_trial() {
-    let (mut book, group) = (book(), fingerprint("prompt of a group"));
+fn simultaneous_crashes_block_nothing_before_a_trial() {
+    let (mut tracker, group) = (tracker(), fingerprint("prompt of a group"));
     for number in 1..=6 {
-        book.ended_under(NOW, group, &server(number), false);
+        tracker.record_crash(NOW, group, &server(number), false);
     }
-    assert_eq!(book.standing(NOW, group), SuspectState::Suspected(6));
-    book.answered(NOW, group);
-    assert_eq!(book.standing(NOW, group), SuspectState::Clear);
+    assert_eq!(tracker.state(NOW, group), SuspectState::Suspected(6));
+    tracker.record_answer(NOW, group);
+    assert_eq!(tracker.state(NOW, group), SuspectState::Clear);
 }
 
-/// Requests that ask the same all the time are in progress at most ends.
+/// Contents that are sent all the time are in progress at most crashes.
 #[test]
-fn a_content_that_was_just_answered_gets_no_strike() {
-    let (mut book, usual) = (book(), fingerprint(""));
-    book.answered(NOW, usual);
-    assert!(book.ended_under(NOW + Duration::from_secs(9), usual, &server(1), true).is_none());
-    assert!(book.ended_under(NOW + Duration::from_secs(11), usual, &server(2), true).is_some());
+fn a_content_that_was_just_answered_is_not_suspected() {
+    let (mut tracker, frequent) = (tracker(), fingerprint(""));
+    tracker.record_answer(NOW, frequent);
+    assert!(tracker.record_crash(NOW + Duration::from_secs(9), frequent, &server(1), true).is_none());
+    assert!(tracker.record_crash(NOW + Duration::from_secs(11), frequent, &server(2), true).is_some());
 }
 
 #[test]
-fn a_held_content_may_be_sent_again_after_its_time() {
-    let (mut book, fatal) = (book(), fingerprint("fatal"));
-    (1..=3).for_each(|number| end_under(&mut book, NOW, number, &[fatal]));
-    let SuspectState::Held(left) = book.standing(settled(NOW), fatal) else { panic!("it is held") };
-    let over = NOW + SuspectSettings::default().life;
-    assert_eq!(settled(NOW) + left, over);
-    assert_eq!(book.standing(over, fatal), SuspectState::Clear);
-    end_under(&mut book, over, 9, &[fingerprint("other")]);
-    assert_eq!(book.lines(over).len(), 1, "nothing is kept beyond its time");
+fn a_blocked_content_may_be_sent_again_after_the_retention_time() {
+    let (mut tracker, fatal) = (tracker(), fingerprint("fatal"));
+    (1..=3).for_each(|number| crash_under(&mut tracker, NOW, number, &[fatal]));
+    let SuspectState::Blocked(left) = tracker.state(settled(NOW), fatal) else { panic!("not blocked") };
+    let expiry = NOW + SuspectSettings::default().retention;
+    assert_eq!(settled(NOW) + left, expiry);
+    assert_eq!(tracker.state(expiry, fatal), SuspectState::Clear);
+    crash_under(&mut tracker, expiry, 9, &[fingerprint("other")]);
+    assert_eq!(tracker.statuses(expiry).len(), 1, "expired contents are forgotten");
 }
 
 #[test]
-fn a_break_in_doubt_is_settled_by_service_discovery() {
-    let (mut book, fatal) = (book(), fingerprint("fatal"));
-    book.doubt(NOW, fatal, &server(1), true);
-    assert!(book.server_gone(NOW, &server(2)).is_empty());
-    assert_eq!(book.server_gone(NOW, &server(1)).len(), 1);
-    assert!(book.server_gone(NOW, &server(1)).is_empty(), "each break counts once");
-    book.doubt(NOW, fatal, &server(3), true);
-    assert!(book.server_gone(NOW + Duration::from_secs(6), &server(3)).is_empty(), "that was too long ago");
+fn service_discovery_resolves_a_broken_connection() {
+    let (mut tracker, fatal) = (tracker(), fingerprint("fatal"));
+    tracker.record_unresolved(NOW, fatal, &server(1), true);
+    assert!(tracker.resolve_server_gone(NOW, &server(2)).is_empty());
+    assert_eq!(tracker.resolve_server_gone(NOW, &server(1)).len(), 1);
+    assert!(tracker.resolve_server_gone(NOW, &server(1)).is_empty(), "each broken connection counts once");
+    tracker.record_unresolved(NOW, fatal, &server(3), true);
+    assert!(
+        tracker.resolve_server_gone(NOW + Duration::from_secs(6), &server(3)).is_empty(),
+        "the connection broke too long ago"
+    );
 }
 
-/// What a storm of ends leaves is bounded, and the content that most servers ended under stays.
+/// Many crashes must not exceed the limits, nor displace the content with most crashes.
 #[test]
-fn what_is_kept_is_bounded() {
+fn tracked_state_is_bounded() {
     let settings = SuspectSettings::default();
-    let (mut book, fatal) = (book(), fingerprint("fatal"));
-    (1..=3).for_each(|number| end_under(&mut book, NOW, number, &[fatal]));
+    let (mut tracker, fatal) = (tracker(), fingerprint("fatal"));
+    (1..=3).for_each(|number| crash_under(&mut tracker, NOW, number, &[fatal]));
     for number in 0..5_000_u64 {
-        book.ended_under(NOW, fingerprint(&format!("{number}")), &server(10 + number % 7), false);
-        book.ended_under(NOW, fatal, &server(1_000 + number), true);
-        book.doubt(NOW, fatal, &server(number), true);
-        book.answered(NOW, fingerprint(&format!("sound {number}")));
+        tracker.record_crash(NOW, fingerprint(&format!("{number}")), &server(10 + number % 7), false);
+        tracker.record_crash(NOW, fatal, &server(1_000 + number), true);
+        tracker.record_unresolved(NOW, fatal, &server(number), true);
+        tracker.record_answer(NOW, fingerprint(&format!("answered {number}")));
     }
-    assert!(is_held(&book, fatal));
-    assert_eq!(book.lines(NOW).len(), settings.most_suspects);
-    let mine = book.notes(NOW).into_iter().filter(|note| note.fingerprint == fatal).count();
-    assert_eq!(mine, settings.most_strikes);
+    assert!(is_blocked(&tracker, fatal));
+    assert_eq!(tracker.statuses(NOW).len(), settings.max_suspects);
+    let fatal_reports = tracker.reports(NOW).into_iter().filter(|report| report.fingerprint == fatal).count();
+    assert_eq!(fatal_reports, settings.max_crashes);
 }
 
-/// A content that was cleared again and again, of ends that were none of its doing, and then ends
-/// servers itself, as one does that a new release cannot bear.
+/// Crashes with another cause were attributed to the content and cleared many times. Then it crashes servers
+/// itself, for example after a new release of the server.
 #[test]
-fn strikes_that_were_cleared_leave_room_for_new_ones() {
-    let (mut book, content) = (book(), fingerprint("sound for long"));
-    let apart = SuspectSettings::default().sound_life;
+fn cleared_crashes_leave_space_for_new_ones() {
+    let (mut tracker, content) = (tracker(), fingerprint("answered before"));
+    let answered_grace = SuspectSettings::default().answered_grace;
     let mut now = NOW;
     for number in 0..40 {
-        now = now + apart;
-        end_under(&mut book, now, number, &[content]);
-        book.answered(now, content);
+        now = now + answered_grace;
+        crash_under(&mut tracker, now, number, &[content]);
+        tracker.record_answer(now, content);
     }
     for number in 100..103 {
-        now = now + apart;
-        end_under(&mut book, now, number, &[content]);
+        now = now + answered_grace;
+        crash_under(&mut tracker, now, number, &[content]);
     }
-    assert!(matches!(book.standing(settled(now), content), SuspectState::Held(_)));
+    assert!(matches!(tracker.state(settled(now), content), SuspectState::Blocked(_)));
 }
 
-/// Whatever nodes hear, in whatever order and how often, they come to the same verdicts.
+/// Nodes reach the same states whatever the order and repetition of the reports.
 #[test]
-fn the_order_of_news_makes_no_difference() {
-    check!().with_type::<(Vec<(u8, u8, bool, bool)>, u64)>().for_each(|(news, seed)| {
-        let note = |(content, start, is_trial, is_void): &(u8, u8, bool, bool)| CrashReport {
+fn the_order_of_reports_makes_no_difference() {
+    check!().with_type::<(Vec<(u8, u8, bool, bool)>, u64)>().for_each(|(drawn, seed)| {
+        let report = |(content, start, is_trial, is_cleared): &(u8, u8, bool, bool)| CrashReport {
             fingerprint: fingerprint(&format!("{}", content % 4)),
-            server: server_start(&format!("i-{}", start % 6), 0),
+            server_start: server_start(&format!("i-{}", start % 6), 0),
             is_trial: *is_trial,
-            is_void: *is_void,
+            is_cleared: *is_cleared,
             age_ms: 0,
         };
-        let notes: Vec<CrashReport> = news.iter().map(note).collect();
-        let mut shuffled = notes.clone();
-        shuffled.extend(notes.iter().take(3).copied());
+        let reports: Vec<CrashReport> = drawn.iter().map(report).collect();
+        let mut shuffled = reports.clone();
+        shuffled.extend(reports.iter().take(3).copied());
         let len = shuffled.len();
         (1..len).for_each(|place| shuffled.swap(place, (seed.wrapping_mul(place as u64) % len as u64) as usize));
-        let (mut left, mut right) = (book(), book());
-        join_all(&mut left, &notes);
-        join_all(&mut right, &shuffled);
+        let (mut left, mut right) = (tracker(), tracker());
+        merge_all(&mut left, &reports);
+        merge_all(&mut right, &shuffled);
         for content in 0..4 {
             let content = fingerprint(&format!("{content}"));
-            assert_eq!(left.standing(settled(NOW), content), right.standing(settled(NOW), content));
+            assert_eq!(left.state(settled(NOW), content), right.state(settled(NOW), content));
         }
-        // A node that missed everything and is told what another one keeps knows as much.
-        let mut late = book();
-        join_all(&mut late, &left.notes(NOW));
-        assert_eq!(late.lines(settled(NOW)), left.lines(settled(NOW)));
+        // A node that missed all reports knows as much after it has merged those that another one keeps.
+        let mut late_node = tracker();
+        merge_all(&mut late_node, &left.reports(NOW));
+        assert_eq!(late_node.statuses(settled(NOW)), left.statuses(settled(NOW)));
     });
 }
 
-/// Several contents end servers, of which few are left, so each accounts for ends of the others. Each is held
-/// once three servers ended under it, one of them while it had the server for itself.
+/// Several contents crash the few servers that are left, so that each explains crashes of the others. Each must be
+/// blocked after three crashes, one of them on a trial.
 #[test]
-fn contents_that_end_servers_together_are_all_held() {
-    let mut book = book();
+fn contents_that_crash_servers_together_are_all_blocked() {
+    let mut tracker = tracker();
     let fatal: Vec<RequestFingerprint> = (0..4).map(|number| fingerprint(&format!("fatal {number}"))).collect();
-    end_under(&mut book, NOW, 1, &fatal);
-    end_under(&mut book, NOW, 2, &fatal);
+    crash_under(&mut tracker, NOW, 1, &fatal);
+    crash_under(&mut tracker, NOW, 2, &fatal);
     for (number, content) in (3_u64..).zip(&fatal) {
-        assert!(!is_held(&book, *content));
-        end_under(&mut book, NOW, number, std::slice::from_ref(content));
+        assert!(!is_blocked(&tracker, *content));
+        crash_under(&mut tracker, NOW, number, std::slice::from_ref(content));
     }
-    assert!(fatal.iter().all(|content| is_held(&book, *content)));
+    assert!(fatal.iter().all(|content| is_blocked(&tracker, *content)));
 }
 
-/// A verdict stands, whatever servers end under other contents later.
+/// A blocked content stays blocked when servers crash under other contents later.
 #[test]
-fn ends_of_others_release_nobody() {
-    let (mut book, first, second) = (book(), fingerprint("first"), fingerprint("second"));
-    (1..=3).for_each(|number| end_under(&mut book, NOW, number, &[first]));
-    assert!(is_held(&book, first));
+fn crashes_of_other_contents_unblock_nothing() {
+    let (mut tracker, first, second) = (tracker(), fingerprint("first"), fingerprint("second"));
+    (1..=3).for_each(|number| crash_under(&mut tracker, NOW, number, &[first]));
+    assert!(is_blocked(&tracker, first));
     for number in 1..=8 {
-        book.ended_under(NOW, second, &server(number), number > 3);
+        tracker.record_crash(NOW, second, &server(number), number > 3);
     }
-    assert!(is_held(&book, first));
+    assert!(is_blocked(&tracker, first));
 }
 
 #[test]
-fn a_server_is_given_to_one_suspect_at_a_time() {
+fn a_server_is_granted_to_one_suspect_at_a_time() {
     let (mut trials, server): (TrialGrants, Name) = (TrialGrants::default(), "i-1".into());
     let (first, second) = (fingerprint("first"), fingerprint("second"));
     assert!(trials.grant(NOW, &server, first));
--- a/crates/trestlerackd/src/entry/feed_relay.rs
+++ b/crates/trestlerackd/src/entry/feed_relay.rs
@@ -248,9 +248,9 @@
     node.suspects.set_cut_off(is_out);
     let mut end_news = node.end_news.lock().unwrap();
     if is_out {
-        end_news.failed();
+        end_news.record_failure();
     } else {
-        end_news.taken_in(asked_at - Duration::from_millis(age_ms));
+        end_news.record_answer(asked_at - Duration::from_millis(age_ms));
     }
 }
 
--- a/crates/trestlerackd/src/entry/feeds.rs
+++ b/crates/trestlerackd/src/entry/feeds.rs
@@ -50,7 +50,7 @@
             Ok(version) => {
                 if table == tables::STATE {
                     node.suspects.set_cut_off(false);
-                    node.end_news.lock().unwrap().taken_in(asked_at);
+                    node.end_news.lock().unwrap().record_answer(asked_at);
                 }
                 node.registry.lock().unwrap().store_returned(node.now());
                 if version.is_none() {
@@ -64,7 +64,7 @@
             Err(error) => {
                 if table == tables::STATE {
                     node.suspects.set_cut_off(true);
-                    node.end_news.lock().unwrap().failed();
+                    node.end_news.lock().unwrap().record_failure();
                 }
                 node.levels.failed();
                 // A store that refuses for a rate is there, and entries do not lapse by that.
--- a/crates/trestlerackd/src/entry/server_end.rs
+++ b/crates/trestlerackd/src/entry/server_end.rs
@@ -38,7 +38,7 @@
         if state != ListenState::Refusing && !may_leave(&node, &broken.server) {
             // Another start may have its address already, or the VM may be gone: service discovery
             // tells within seconds.
-            node.suspects.book().doubt(node.now(), broken.fingerprint, &broken.server, broken.is_trial);
+            node.suspects.book().record_unresolved(node.now(), broken.fingerprint, &broken.server, broken.is_trial);
             if state == ListenState::Listening {
                 tokio::spawn(ask_again(node, broken));
             }
--- a/crates/trestlerackd/src/entry/server_ticket.rs
+++ b/crates/trestlerackd/src/entry/server_ticket.rs
@@ -28,7 +28,7 @@
     /// Counts a request in.
     pub fn new(node: &Arc<EntryNode>, server: ServerEntry, fingerprint: RequestFingerprint) -> Self {
         node.board.lock().unwrap().started(&server.instance);
-        let run = node.suspects.book().sent(node.now(), &server.instance, fingerprint);
+        let run = node.suspects.book().begin_run(node.now(), &server.instance, fingerprint);
         let (is_open, is_shared) = (AtomicBool::new(false), AtomicBool::new(false));
         Self { node: node.clone(), server, fingerprint, run, tokens: None, is_open, is_shared }
     }
@@ -78,10 +78,10 @@
             // Its client left or its time was over. Should its server end now, only service discovery
             // tells.
             let (now, is_trial) = (self.node.now(), self.is_trial());
-            self.node.suspects.book().doubt(now, self.fingerprint, &self.server, is_trial);
+            self.node.suspects.book().record_unresolved(now, self.fingerprint, &self.server, is_trial);
         }
         if let Some(run) = self.run {
-            self.node.suspects.book().returned(&self.server.instance, run);
+            self.node.suspects.book().end_run(&self.server.instance, run);
         }
         room::place_freed(&self.node, &self.server.service);
     }
--- a/crates/trestlerackd/src/entry/status.rs
+++ b/crates/trestlerackd/src/entry/status.rs
@@ -152,14 +152,14 @@
 }
 
 fn suspects(node: &EntryNode) -> Vec<SuspectEntry> {
-    let lines = node.suspects.book().lines(node.now());
+    let lines = node.suspects.book().statuses(node.now());
     let entry = |line: &SuspectStatus| {
-        let (standing, left) = match line.standing {
-            SuspectState::Held(left) => ("held", left),
+        let (standing, left) = match line.state {
+            SuspectState::Blocked(left) => ("held", left),
             SuspectState::Suspected(_) => ("suspected", Duration::ZERO),
             SuspectState::Clear => ("clear", Duration::ZERO),
         };
-        let SuspectStatus { ended, unexplained, .. } = *line;
+        let SuspectStatus { crashes: ended, unexplained, .. } = *line;
         let fingerprint = line.fingerprint.to_string();
         SuspectEntry { fingerprint, standing, left_s: left.as_secs(), ended, unexplained }
     };
--- a/crates/trestlerackd/src/entry/suspects/desk.rs
+++ b/crates/trestlerackd/src/entry/suspects/desk.rs
@@ -46,7 +46,7 @@
     /// Builds a desk that suspects nobody.
     pub fn new(settings: &EntrySettings) -> Self {
         let settings =
-            SuspectSettings { doubt_life: settings.lapse_time() + DISCOVERY_LAG, ..SuspectSettings::default() };
+            SuspectSettings { unresolved_ttl: settings.lapse_time() + DISCOVERY_LAG, ..SuspectSettings::default() };
         Self {
             book: Mutex::new(SuspectTracker::new(settings)),
             trials: Mutex::default(),
@@ -97,9 +97,10 @@
         let mut unstored = self.unstored.lock().unwrap();
         for note in notes {
             let at = now - Duration::from_millis(note.age_ms);
-            let change = if note.is_void { RowChange::Remove } else { RowChange::Put { at, is_trial: note.is_trial } };
+            let change =
+                if note.is_cleared { RowChange::Remove } else { RowChange::Put { at, is_trial: note.is_trial } };
             if unstored.len() < MOST_WAITING {
-                unstored.insert((note.fingerprint, note.server), change);
+                unstored.insert((note.fingerprint, note.server_start), change);
             }
         }
         drop(unstored);
--- a/crates/trestlerackd/src/entry/suspects/gossip.rs
+++ b/crates/trestlerackd/src/entry/suspects/gossip.rs
@@ -15,8 +15,8 @@
     learn_from_peer(node, told);
     let is_untold = |note: &CrashReport| {
         !told.iter().any(|told| {
-            let is_same = told.fingerprint == note.fingerprint && told.server == note.server;
-            is_same && told.is_trial == note.is_trial && told.is_void == note.is_void
+            let is_same = told.fingerprint == note.fingerprint && told.server_start == note.server_start;
+            is_same && told.is_trial == note.is_trial && told.is_cleared == note.is_cleared
         })
     };
     known.into_iter().filter(is_untold).collect()
@@ -38,7 +38,7 @@
 }
 
 pub(super) fn newest_notes(node: &EntryNode) -> Vec<CrashReport> {
-    let mut notes = node.suspects.book().notes(node.now());
+    let mut notes = node.suspects.book().reports(node.now());
     notes.sort_by_key(|note| note.age_ms);
     notes.truncate(MOST_TOLD);
     notes
--- a/crates/trestlerackd/src/entry/suspects/mod.rs
+++ b/crates/trestlerackd/src/entry/suspects/mod.rs
@@ -44,8 +44,8 @@
 
 /// Returns for how long a content is not to be sent to servers, if it is held.
 pub fn held_for(node: &EntryNode, fingerprint: RequestFingerprint) -> Option<Duration> {
-    match node.suspects.book().standing(node.now(), fingerprint) {
-        SuspectState::Held(left) => Some(left),
+    match node.suspects.book().state(node.now(), fingerprint) {
+        SuspectState::Blocked(left) => Some(left),
         SuspectState::Clear | SuspectState::Suspected(_) => None,
     }
 }
@@ -59,7 +59,7 @@
         |need: &ServerNeed<'_>| node.board.lock().unwrap().choose(now, need).map(|belief| belief.entry.clone());
     let (standing, shared) = {
         let book = node.suspects.book();
-        (book.standing(now, fingerprint), book.shared_servers(fingerprint))
+        (book.state(now, fingerprint), book.servers_with_other_suspects(fingerprint))
     };
     if standing == SuspectState::Clear || shared.is_empty() {
         return choose(need);
@@ -74,15 +74,15 @@
 
 /// Returns whether servers ended under a content, so that it gets no second server beside the first.
 pub fn is_suspect(node: &EntryNode, fingerprint: RequestFingerprint) -> bool {
-    node.suspects.book().standing(node.now(), fingerprint) != SuspectState::Clear
+    node.suspects.book().state(node.now(), fingerprint) != SuspectState::Clear
 }
 
 /// Returns whether more than one server ended under a content.
 pub fn is_repeated(node: &EntryNode, fingerprint: RequestFingerprint) -> bool {
-    match node.suspects.book().standing(node.now(), fingerprint) {
+    match node.suspects.book().state(node.now(), fingerprint) {
         SuspectState::Clear => false,
         SuspectState::Suspected(ended) => ended > 1,
-        SuspectState::Held(_) => true,
+        SuspectState::Blocked(_) => true,
     }
 }
 
@@ -91,16 +91,16 @@
 pub fn wait_time(node: &EntryNode, fingerprint: RequestFingerprint) -> Duration {
     let now = node.now();
     let book = node.suspects.book();
-    match book.standing(now, fingerprint) {
+    match book.state(now, fingerprint) {
         SuspectState::Clear | SuspectState::Suspected(1) => Duration::ZERO,
-        SuspectState::Suspected(_) => book.settles_in(now, fingerprint),
-        SuspectState::Held(left) => left,
+        SuspectState::Suspected(_) => book.time_to_settle(now, fingerprint),
+        SuspectState::Blocked(left) => left,
     }
 }
 
 /// Logs that a content was not sent to a server.
 pub fn log_held(node: &EntryNode, request: &str, fingerprint: RequestFingerprint, left: Duration) {
-    let ended = node.suspects.book().ended(fingerprint);
+    let ended = node.suspects.book().crash_count(fingerprint);
     node.metrics.held();
     let fields: [(&str, &dyn std::fmt::Display); 4] =
         [("request", &request), ("fingerprint", &fingerprint), ("ended", &ended), ("left_s", &left.as_secs())];
@@ -116,8 +116,8 @@
     is_trial: bool,
 ) {
     let now = node.now();
-    let note = node.suspects.book().ended_under(now, fingerprint, server, is_trial);
-    let ended = node.suspects.book().ended(fingerprint);
+    let note = node.suspects.book().record_crash(now, fingerprint, server, is_trial);
+    let ended = node.suspects.book().crash_count(fingerprint);
     let fields: [(&str, &dyn std::fmt::Display); 5] = [
         ("request", &request),
         ("fingerprint", &fingerprint),
@@ -134,11 +134,11 @@
 
 /// Takes note that service discovery lost a server, or lists a later start of it.
 pub fn server_gone(node: &Arc<EntryNode>, server: &ServerEntry) {
-    if server.is_draining || !node.suspects.book().has_doubts() {
+    if server.is_draining || !node.suspects.book().has_unresolved() {
         return;
     }
     let now = node.now();
-    let notes = node.suspects.book().server_gone(now, server);
+    let notes = node.suspects.book().resolve_server_gone(now, server);
     log_standing(node, &notes, StrikeSource::Own);
     node.suspects.publish(now, &notes);
 }
@@ -147,7 +147,7 @@
 pub fn answered(node: &EntryNode, ticket: &ServerTicket) {
     ticket.settle();
     let (now, server, fingerprint) = (node.now(), &ticket.server.instance, ticket.fingerprint);
-    let void = node.suspects.book().answered(now, fingerprint);
+    let void = node.suspects.book().record_answer(now, fingerprint);
     if void.is_empty() {
         return;
     }
@@ -170,10 +170,10 @@
 }
 
 async fn log_if_held(node: Arc<EntryNode>, fingerprint: RequestFingerprint, source: StrikeSource, age_ms: u64) {
-    let settles_in = node.suspects.book().settles_in(node.now(), fingerprint);
+    let settles_in = node.suspects.book().time_to_settle(node.now(), fingerprint);
     clock::sleep(settles_in).await;
     if held_for(&node, fingerprint).is_some() {
-        let ended = node.suspects.book().ended(fingerprint);
+        let ended = node.suspects.book().crash_count(fingerprint);
         let fields: [(&str, &dyn std::fmt::Display); 4] =
             [("fingerprint", &fingerprint), ("ended", &ended), ("source", &source.as_str()), ("age_ms", &age_ms)];
         logs::write(event::CONTENT_HELD, &fields);
@@ -184,7 +184,7 @@
 fn join(node: &Arc<EntryNode>, notes: &[CrashReport], source: StrikeSource) -> Vec<CrashReport> {
     let now = node.now();
     let mut book = node.suspects.book();
-    let news: Vec<CrashReport> = notes.iter().filter(|note| book.join(now, note)).copied().collect();
+    let news: Vec<CrashReport> = notes.iter().filter(|note| book.merge(now, note)).copied().collect();
     drop(book);
     log_standing(node, &news, source);
     news
--- a/crates/trestlerackd/src/entry/suspects/rows.rs
+++ b/crates/trestlerackd/src/entry/suspects/rows.rs
@@ -60,13 +60,17 @@
 pub fn apply_row(node: &Arc<EntryNode>, row: &StoredRow) -> Result<(), StoreError> {
     if row.removed {
         let (fingerprint, server) = decode_key(&row.key).ok_or(StoreError::Unknown)?;
-        node.suspects.book().void(fingerprint, server);
+        node.suspects.book().clear(fingerprint, server);
         return Ok(());
     }
     let strike: StrikeRow = tables::decode(&row.value)?;
     let age_ms = node.store.clock_ms().saturating_sub(strike.at_ms);
     let StrikeRow { fingerprint, server, is_trial, .. } = strike;
-    join(node, &[CrashReport { fingerprint, server, is_trial, is_void: false, age_ms }], StrikeSource::Store);
+    join(
+        node,
+        &[CrashReport { fingerprint, server_start: server, is_trial, is_cleared: false, age_ms }],
+        StrikeSource::Store,
+    );
     Ok(())
 }
 
@@ -125,7 +129,7 @@
 pub async fn sweep_rows(node: &Arc<EntryNode>) -> Result<(), StoreError> {
     let rows = tables::read_all(&node.store, tables::STATE, tables::SUSPECTS).await?;
     let clock_ms = node.store.clock_ms();
-    let life_ms = millis(SuspectSettings::default().life);
+    let life_ms = millis(SuspectSettings::default().retention);
     let at_ms = |row: &StoredRow| tables::decode::<StrikeRow>(&row.value).map_or(0, |strike| strike.at_ms);
     let mut dated: Vec<(u64, Name)> = rows.iter().map(|row| (at_ms(row), row.key.clone())).collect();
     dated.sort();
--- a/crates/trestlerackd/src/entry/suspects/trials.rs
+++ b/crates/trestlerackd/src/entry/suspects/trials.rs
@@ -15,7 +15,7 @@
 /// Asks that the suspect of a ticket has its server for itself. Returns whether it may be sent there: one
 /// under which several servers ended may not be sent where another one is tried.
 pub async fn ask_trial(node: &Arc<EntryNode>, ticket: &ServerTicket) -> bool {
-    let standing = node.suspects.book().standing(node.now(), ticket.fingerprint);
+    let standing = node.suspects.book().state(node.now(), ticket.fingerprint);
     let SuspectState::Suspected(ended) = standing else { return true };
     // A run on an engine lasts longer than a trial, and a step has many: they would wait for each other.
     if ended == 1 || !ticket.server.models.is_empty() {
--- a/crates/trestlerackd/src/request/content_gate.rs
+++ b/crates/trestlerackd/src/request/content_gate.rs
@@ -68,19 +68,19 @@
 ) -> Result<T, Failure> {
     let now = node.now();
     // Taken before it is looked at: the refusal asks the book too.
-    let standing = node.gate.book().standing(now, send.content);
-    if let SuspectState::Held(left) = standing {
+    let standing = node.gate.book().state(now, send.content);
+    if let SuspectState::Blocked(left) = standing {
         return Err(refuse(node, &send, left));
     }
-    let run = node.gate.book().sent(now, send.backend, send.content);
+    let run = node.gate.book().begin_run(now, send.backend, send.content);
     let result = exchange.await;
     let is_trial = run.is_some_and(|run| node.gate.book().is_trial(send.backend, run));
     if let Some(run) = run {
-        node.gate.book().returned(send.backend, run);
+        node.gate.book().end_run(send.backend, run);
     }
     match &result {
         Ok(_) => {
-            node.gate.book().answered(node.now(), send.content);
+            node.gate.book().record_answer(node.now(), send.content);
         }
         Err(failure) if failure.verdict == Verdict::MayHaveRun && failure.reason == Reason::BackendFailed => {
             if refuses_connections(send.address).await {
@@ -93,7 +93,7 @@
 }
 
 fn refuse(node: &Node, send: &GuardedSend<'_>, left: Duration) -> Failure {
-    let ended = node.gate.book().ended(send.content);
+    let ended = node.gate.book().crash_count(send.content);
     let fields: [(&str, &dyn std::fmt::Display); 4] =
         [("request", &"-"), ("fingerprint", &send.content), ("ended", &ended), ("left_s", &left.as_secs())];
     logs::write(event::REQUEST_HELD, &fields);
@@ -102,11 +102,11 @@
 
 fn note_end(node: &Arc<Node>, send: &GuardedSend<'_>, is_trial: bool) {
     let end = hash_parts(&[send.backend, &(SystemClock::unix_millis() / SAME_END_MS).to_string()]);
-    let is_news = node.gate.book().ended_at(node.now(), send.content, end, is_trial).is_some();
+    let is_news = node.gate.book().record_crash_by_start(node.now(), send.content, end, is_trial).is_some();
     if is_news {
         member_loop::probe_some(node, &GossipSettings::default());
     }
-    let ended = node.gate.book().ended(send.content);
+    let ended = node.gate.book().crash_count(send.content);
     let fields: [(&str, &dyn std::fmt::Display); 5] = [
         ("request", &"-"),
         ("fingerprint", &send.content),
@@ -132,7 +132,7 @@
 
 /// Returns the strikes that travel with a probe.
 pub fn probe_strikes(node: &Node) -> Vec<CrashReport> {
-    let mut notes = node.gate.book().notes(node.now());
+    let mut notes = node.gate.book().reports(node.now());
     notes.sort_by_key(|note| note.age_ms);
     notes.truncate(PROBE_STRIKES);
     notes
@@ -142,7 +142,7 @@
 pub fn hear_strikes(node: &Arc<Node>, notes: &[CrashReport]) {
     let now = node.now();
     let mut book = node.gate.book();
-    let news = notes.iter().filter(|note| book.join(now, note)).count();
+    let news = notes.iter().filter(|note| book.merge(now, note)).count();
     drop(book);
     if news > 0 {
         member_loop::probe_some(node, &GossipSettings::default());
