--- a/crates/trestlerack/src/process/shares/aggregator.rs
+++ b/crates/trestlerack/src/process/shares/aggregator.rs
@@ -78,7 +78,7 @@
     periods: i32,
     /// Estimated capacity of the servers, in milliseconds of work a second.
     capacity: f64,
-    opened_at: Timestamp,
+    created_at: Timestamp,
     computed_at: Timestamp,
     reported_at: Timestamp,
     is_overloaded: bool,
@@ -145,7 +145,7 @@
             updates: 0,
             periods: 0,
             capacity: 0.0,
-            opened_at: now,
+            created_at: now,
             computed_at: now,
             reported_at: now,
             // Nodes report a service only after its calls were refused or queued.
@@ -170,7 +170,7 @@
     }
 
     fn is_warming_up(&self, now: Timestamp, settings: &ShareSettings) -> bool {
-        now.since(self.opened_at) < settings.warmup || self.updates < settings.min_warmup_updates
+        now.since(self.created_at) < settings.warmup || self.updates < settings.min_warmup_updates
     }
 
     /// Returns the age to state in an answer. During warm-up it is the full TTL: the answer then only says that the
--- a/crates/trestlerack/src/process/shares/share_limiter.rs
+++ b/crates/trestlerack/src/process/shares/share_limiter.rs
@@ -160,7 +160,7 @@
     pub fn admit(&mut self, now: Timestamp, service: &Name, customer: &Name, weight: u32) -> ShareDecision {
         let call = self.count(now, service, customer, weight);
         let settings = self.settings;
-        let counts = self.service(service);
+        let counts = self.counts_mut(service);
         let is_valid = counts.has_valid_shares(now, &settings);
         let throttle = counts.throttles.get_mut(customer).filter(|_| is_valid);
         let refused_fraction = throttle.and_then(|throttle| (!throttle.admit()).then(|| throttle.fraction()));
@@ -172,7 +172,7 @@
 
     /// Counts a requested call that can no longer be refused, such as a call of an accepted job.
     pub fn count(&mut self, now: Timestamp, service: &Name, customer: &Name, weight: u32) -> CountedCall {
-        let counts = self.service(service);
+        let counts = self.counts_mut(service);
         let work_ms = counts.work_per_call();
         let count = counts.customers.entry(customer.clone()).or_insert_with(|| CustomerCount::new(now));
         count.weight = weight;
@@ -182,7 +182,7 @@
 
     /// Counts a call as served. `took` is the time that a server needed, if known.
     pub fn record_served(&mut self, call: &CountedCall, took: Option<Duration>) {
-        let counts = self.service(&call.service);
+        let counts = self.counts_mut(&call.service);
         if let Some(count) = counts.customers.get_mut(&call.customer) {
             count.total.served += call.work_ms;
         }
@@ -196,7 +196,7 @@
     /// Records that a call was refused or queued because no server of a service had a free slot.
     pub fn record_overload(&mut self, now: Timestamp, service: &Name) {
         let settings = self.settings;
-        self.service(service).mark_overloaded(now, now, &settings);
+        self.counts_mut(service).mark_overloaded(now, now, &settings);
     }
 
     /// Returns whether this node knows that a service is or was recently overloaded.
@@ -279,7 +279,7 @@
         shares.fractions.retain(|(_, fraction)| *fraction > 0.0 && *fraction < 1.0);
         let computed_at = now - Duration::from_millis(shares.age_ms);
         let (node, settings) = (self.node.clone(), self.settings);
-        let counts = self.service(&shares.service);
+        let counts = self.counts_mut(&shares.service);
         if counts.computed_at.is_some_and(|at| at >= computed_at) || now.since(computed_at) > settings.shares_ttl {
             return false;
         }
@@ -348,7 +348,7 @@
         statuses
     }
 
-    fn service(&mut self, service: &Name) -> &mut ServiceCounts {
+    fn counts_mut(&mut self, service: &Name) -> &mut ServiceCounts {
         self.services.entry(service.clone()).or_default()
     }
 }
--- a/crates/trestlerack/src/process/suspects/mod.rs
+++ b/crates/trestlerack/src/process/suspects/mod.rs
@@ -135,7 +135,7 @@
     pub unexplained: usize,
 }
 
-/// Crashes of servers that this node knows of, by the request content that was in progress.
+/// Server crashes known to this node, by the request content that was in progress.
 #[derive(Debug, Default)]
 pub struct SuspectTracker {
     settings: SuspectSettings,
--- a/crates/trestlerack/tests/support/share_simulation.rs
+++ b/crates/trestlerack/tests/support/share_simulation.rs
@@ -81,7 +81,7 @@
 }
 
 struct QueuedCall {
-    is_over: bool,
+    is_over_share: bool,
     since: Timestamp,
     /// Orders calls that were queued at the same time.
     tie_breaker: u32,
@@ -251,9 +251,9 @@
         let limiter = &mut self.nodes[node].limiter;
         match limiter.admit(now, &service, &name, self.weights[customer]) {
             ShareDecision::Admitted(call) => {
-                let is_over = limiter.is_over_share(now, SERVICE, &name);
+                let is_over_share = limiter.is_over_share(now, SERVICE, &name);
                 let tie_breaker = self.random.random();
-                self.queued_calls.push(QueuedCall { is_over, since: now, tie_breaker, node, customer, call });
+                self.queued_calls.push(QueuedCall { is_over_share, since: now, tie_breaker, node, customer, call });
             }
             ShareDecision::OverShare(_) => self.current_second().over_share += 1,
         }
@@ -264,7 +264,7 @@
         let (now, service) = (self.now, Name::from(SERVICE));
         let calls_per_tick = self.capacity * TICK.as_secs_f64();
         self.budget = (self.budget + calls_per_tick).min(calls_per_tick.max(1.0) * 2.0);
-        self.queued_calls.sort_by_key(|queued| (queued.is_over, queued.since, queued.tie_breaker));
+        self.queued_calls.sort_by_key(|queued| (queued.is_over_share, queued.since, queued.tie_breaker));
         let count = (self.budget as usize).min(self.queued_calls.len());
         self.budget -= count as f64;
         for queued in self.queued_calls.drain(..count).collect::<Vec<_>>() {
