--- a/crates/trestlerack/src/process/load_message.rs
+++ b/crates/trestlerack/src/process/load_message.rs
@@ -88,7 +88,8 @@
     /// Response time relative to the usual one.
     pub slowness: f32,
     /// Fraction of the recent answers that failed, from 0 to 1.
-    pub failing: f32,
+    #[serde(rename = "failing")]
+    pub failure_rate: f32,
     /// Time since the origin measured this, in milliseconds; grows as the observation is forwarded.
     pub age_ms: u64,
 }
--- a/crates/trestlerack/src/process/server_notes.rs
+++ b/crates/trestlerack/src/process/server_notes.rs
@@ -273,7 +273,7 @@
         origin,
         number,
         slowness: figures.slowness as f32,
-        failing: figures.failing as f32,
+        failure_rate: figures.failing as f32,
         age_ms: millis(now.since(at)),
     }
 }
@@ -281,7 +281,7 @@
 impl ServerObservation {
     /// Returns what the note says, or `None` if it holds no proper figures.
     fn figures(&self) -> Option<ServerFigures> {
-        let (slowness, failing) = (f64::from(self.slowness), f64::from(self.failing));
+        let (slowness, failing) = (f64::from(self.slowness), f64::from(self.failure_rate));
         let is_proper = slowness.is_finite() && slowness > 0.0 && (0.0..=1.0).contains(&failing);
         is_proper.then_some(ServerFigures { slowness, failing })
     }
--- a/crates/trestlerack/src/process/shares/mod.rs
+++ b/crates/trestlerack/src/process/shares/mod.rs
@@ -5,6 +5,7 @@
 //! shares ([`ShareAggregator`], [`fair_shares()`]) and answers with the fraction of calls to admit for each customer
 //! over its share. A service is overloaded when calls were recently refused or queued because no server had a free
 //! slot.
+//!
 //! See [docs/design/room.md](../../../../../docs/design/room.md).
 
 mod aggregator;
--- a/crates/trestlerack/src/process/suspects/mod.rs
+++ b/crates/trestlerack/src/process/suspects/mod.rs
@@ -13,6 +13,7 @@
 //! Several contents may crash servers while few servers are left, so that each explains crashes of the others. A
 //! content is then also blocked if the same number of servers crashed under it in total and one crash happened on a
 //! trial that no other content had on that server.
+//!
 //! [docs/PLATFORM.md](../../../../../docs/PLATFORM.md#requests-that-end-servers) explains the reasons.
 
 mod gossip;
--- a/crates/trestlerack/tests/uneven_notes.rs
+++ b/crates/trestlerack/tests/uneven_notes.rs
@@ -24,7 +24,7 @@
         origin: origin.into(),
         number,
         slowness,
-        failing: 0.0,
+        failure_rate: 0.0,
         age_ms,
     }
 }
--- a/crates/trestlerackd/src/entry/news/server_news.rs
+++ b/crates/trestlerackd/src/entry/news/server_news.rs
@@ -99,7 +99,7 @@
 fn log_changed(node: &EntryNode, note: &ServerObservation) {
     let standing = node.board.lock().unwrap().standing(node.now(), &note.instance).as_str();
     let slowness = format!("{:.2}", note.slowness);
-    let failing = format!("{:.2}", note.failing);
+    let failing = format!("{:.2}", note.failure_rate);
     let fields: [(&str, &dyn std::fmt::Display); 4] =
         [("server", &note.instance), ("standing", &standing), ("slowness", &slowness), ("failing", &failing)];
     logs::write(event::SERVER_JUDGED, &fields);
@@ -107,7 +107,7 @@
 
 fn log_told(note: &ServerObservation) {
     let slowness = format!("{:.2}", note.slowness);
-    let failing = format!("{:.2}", note.failing);
+    let failing = format!("{:.2}", note.failure_rate);
     let fields: [(&str, &dyn std::fmt::Display); 5] = [
         ("server", &note.instance),
         ("origin", &note.origin),
