--- a/crates/trestlerack/src/process/mod.rs
+++ b/crates/trestlerack/src/process/mod.rs
@@ -6,7 +6,6 @@
 mod call_rank;
 mod direct_way;
 mod duty_gate;
-mod end_news;
 mod engine_fleet;
 mod engine_memory;
 mod engine_priority;
@@ -15,13 +14,14 @@
 mod expectation;
 mod feed_log;
 mod hedging;
+mod job_end_freshness;
 mod job_owner;
 mod lease;
 mod leaving;
 mod levels;
 mod limiter;
+mod load_message;
 mod membership;
-mod news;
 mod node_rows;
 mod outlier;
 mod ownership;
@@ -58,22 +58,22 @@
 pub use call_rank::{CallRank, call_priority};
 pub use direct_way::{DirectWay, WayChange};
 pub use duty_gate::{DutyGate, DutySettings};
-pub use end_news::{EndNews, EndNewsSettings};
 pub use engine_fleet::{EngineFleet, FleetRow, FleetSettings, ScalingTerms, ZoneEngines, ZoneOrder};
 pub use engine_memory::{EngineMemory, SharedPrompt, TokenNeed};
 pub use engine_priority::{CallHistory, ServicePriorities, engine_priority, shows_preemption};
 pub use entry_settings::{ENTRY_FIELDS, EntrySettings, parse_entry_settings};
 pub use event_pace::{EventPace, PaceSample};
 pub use feed_log::{FeedLog, FeedPlace};
+pub use job_end_freshness::{JobEndFreshness, JobEndFreshnessSettings};
 pub use job_owner::{OwnerCandidate, choose_job_owner, successor_rank};
 pub use lease::{LeaseGrant, LeaseKeeper, LeaseRow, LeaseSettings, LeaseStep};
 pub use leaving::LeavingBoard;
 pub use levels::{LevelNode, ask_order, choose_followers, follower_count};
 pub use limiter::{RetryBudget, UserLimiter};
+pub use load_message::{CustomerUsage, LoadMessage, ServerObservation, ServiceShares};
 pub use membership::{
     Heartbeat, Liveness, MembershipAction, MembershipEvent, MembershipSettings, PeerInfo, PeerMembership, PeerUpdate,
 };
-pub use news::{CustomerUse, NodeNews, ServerNote, ServiceShares};
 pub use node_rows::{NODE_PARTITIONS, NodeRow, NodeRows, is_node_partition, node_partition};
 pub use outlier::{OutlierDetector, OutlierSettings};
 pub use ownership::{ModelOwner, NodeView, OwnerTable, OwnershipView};
@@ -94,8 +94,8 @@
 pub use server_subset::ServerCounts;
 pub use settings::{DaemonSettings, SETTINGS_FIELDS, parse_settings};
 pub use shares::{
-    AdderChoice, PartGate, ShareAdder, ShareBook, ShareCall, ShareDemand, ShareLine, ShareSettings, ShareVerdict,
-    fair_shares,
+    AggregatorSelector, CallThrottle, CountedCall, ShareAggregator, ShareDecision, ShareDemand, ShareLimiter,
+    ShareSettings, ShareStatus, fair_shares,
 };
 pub use spool::{SampleSpool, SpoolSettings};
 pub use stable_wall_clock::StableWallClock;
@@ -107,8 +107,8 @@
 pub use step_store::{MadeGroup, ManifestCache, Opened, Recorded, StepLook, StepStore};
 pub use store_pacing::{failure_backoff, rate_limit_backoff, watch_interval};
 pub use suspects::{
-    GossipSettings, NEWS_LAG, StrikeNote, SuspectBook, SuspectLine, SuspectRun, SuspectSettings, SuspectStanding,
-    TrialBook, server_start,
+    CrashReport, DISCOVERY_LAG, GossipSettings, SuspectRun, SuspectSettings, SuspectState, SuspectStatus,
+    SuspectTracker, TrialGrants, server_start,
 };
 pub use suspension::SuspensionDetector;
 pub use usage::{
--- a/crates/trestlerack/src/process/suspects/gossip.rs
+++ b/crates/trestlerack/src/process/suspects/gossip.rs
@@ -1,34 +1,35 @@
-//! How nodes tell each other of strikes while the store does not serve them.
+//! Gossip between nodes: crash reports while the store does not serve them, server observations and customer
+//! shares.
 
 use crate::Name;
 use rand::Rng;
 use rand::seq::IndexedRandom;
 use std::time::Duration;
 
-/// Settings of the gossip about strikes.
+/// Settings of a gossip protocol.
 #[derive(Clone, Debug)]
 pub struct GossipSettings {
-    /// Peers that are told at once of what is news. With three, news reaches most of 300 nodes in six
-    /// steps; one node in twenty hears of it by asking.
-    pub told_at_once: usize,
-    /// Interval at which a node that the store does not serve asks a peer for its strikes.
-    pub ask_interval: Duration,
+    /// Number of peers to which new information is pushed at once. With three, it reaches most of 300 nodes in six
+    /// steps; one node in twenty gets it only by pulling.
+    pub fanout: usize,
+    /// Interval at which a node that the store does not serve pulls crash reports from a peer.
+    pub pull_interval: Duration,
 }
 
 impl Default for GossipSettings {
     fn default() -> Self {
-        Self { told_at_once: 3, ask_interval: Duration::from_millis(400) }
+        Self { fanout: 3, pull_interval: Duration::from_millis(400) }
     }
 }
 
 impl GossipSettings {
-    /// Returns the peers that are to be told at once.
-    pub fn pick_told(&self, peers: &[Name], random: &mut impl Rng) -> Vec<Name> {
-        peers.choose_multiple(random, self.told_at_once).cloned().collect()
+    /// Returns random peers to push new information to.
+    pub fn pick_push_peers(&self, peers: &[Name], random: &mut impl Rng) -> Vec<Name> {
+        peers.choose_multiple(random, self.fanout).cloned().collect()
     }
 
-    /// Returns the peer that is to be asked.
-    pub fn pick_asked(&self, peers: &[Name], random: &mut impl Rng) -> Option<Name> {
+    /// Returns a random peer to pull from.
+    pub fn pick_pull_peer(&self, peers: &[Name], random: &mut impl Rng) -> Option<Name> {
         peers.choose(random).cloned()
     }
 }
--- a/crates/trestlerackd/src/entry/suspects/mod.rs
+++ b/crates/trestlerackd/src/entry/suspects/mod.rs
@@ -21,7 +21,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use trestlerack::event;
-use trestlerack::process::{ServerEntry, ServerNeed, StrikeNote, SuspectStanding};
+use trestlerack::process::{CrashReport, ServerEntry, ServerNeed, SuspectState};
 use trestlerack::request::RequestFingerprint;
 
 /// Where a node heard of a strike.
@@ -44,9 +44,9 @@
 
 /// Returns for how long a content is not to be sent to servers, if it is held.
 pub fn held_for(node: &EntryNode, fingerprint: RequestFingerprint) -> Option<Duration> {
-    match node.suspects.book().standing(node.now(), fingerprint) {
-        SuspectStanding::Held(left) => Some(left),
-        SuspectStanding::Clear | SuspectStanding::Suspected(_) => None,
+    match node.suspects.book().state(node.now(), fingerprint) {
+        SuspectState::Blocked(left) => Some(left),
+        SuspectState::Clear | SuspectState::Suspected(_) => None,
     }
 }
 
@@ -59,30 +59,30 @@
         |need: &ServerNeed<'_>| node.board.lock().unwrap().choose(now, need).map(|belief| belief.entry.clone());
     let (standing, shared) = {
         let book = node.suspects.book();
-        (book.standing(now, fingerprint), book.shared_servers(fingerprint))
+        (book.state(now, fingerprint), book.servers_with_other_suspects(fingerprint))
     };
-    if standing == SuspectStanding::Clear || shared.is_empty() {
+    if standing == SuspectState::Clear || shared.is_empty() {
         return choose(need);
     }
     let avoid = [need.avoid, &shared].concat();
     let apart = choose(&ServerNeed { avoid: &avoid, ..need.clone() });
     match standing {
-        SuspectStanding::Suspected(1) => apart.or_else(|| choose(need)),
+        SuspectState::Suspected(1) => apart.or_else(|| choose(need)),
         _ => apart,
     }
 }
 
 /// Returns whether servers ended under a content, so that it gets no second server beside the first.
 pub fn is_suspect(node: &EntryNode, fingerprint: RequestFingerprint) -> bool {
-    node.suspects.book().standing(node.now(), fingerprint) != SuspectStanding::Clear
+    node.suspects.book().state(node.now(), fingerprint) != SuspectState::Clear
 }
 
 /// Returns whether more than one server ended under a content.
 pub fn is_repeated(node: &EntryNode, fingerprint: RequestFingerprint) -> bool {
-    match node.suspects.book().standing(node.now(), fingerprint) {
-        SuspectStanding::Clear => false,
-        SuspectStanding::Suspected(ended) => ended > 1,
-        SuspectStanding::Held(_) => true,
+    match node.suspects.book().state(node.now(), fingerprint) {
+        SuspectState::Clear => false,
+        SuspectState::Suspected(ended) => ended > 1,
+        SuspectState::Blocked(_) => true,
     }
 }
 
@@ -91,16 +91,16 @@
 pub fn wait_time(node: &EntryNode, fingerprint: RequestFingerprint) -> Duration {
     let now = node.now();
     let book = node.suspects.book();
-    match book.standing(now, fingerprint) {
-        SuspectStanding::Clear | SuspectStanding::Suspected(1) => Duration::ZERO,
-        SuspectStanding::Suspected(_) => book.settles_in(now, fingerprint),
-        SuspectStanding::Held(left) => left,
+    match book.state(now, fingerprint) {
+        SuspectState::Clear | SuspectState::Suspected(1) => Duration::ZERO,
+        SuspectState::Suspected(_) => book.time_to_settle(now, fingerprint),
+        SuspectState::Blocked(left) => left,
     }
 }
 
 /// Logs that a content was not sent to a server.
 pub fn log_held(node: &EntryNode, request: &str, fingerprint: RequestFingerprint, left: Duration) {
-    let ended = node.suspects.book().ended(fingerprint);
+    let ended = node.suspects.book().crash_count(fingerprint);
     node.metrics.held();
     let fields: [(&str, &dyn std::fmt::Display); 4] =
         [("request", &request), ("fingerprint", &fingerprint), ("ended", &ended), ("left_s", &left.as_secs())];
@@ -116,8 +116,8 @@
     is_trial: bool,
 ) {
     let now = node.now();
-    let note = node.suspects.book().ended_under(now, fingerprint, server, is_trial);
-    let ended = node.suspects.book().ended(fingerprint);
+    let note = node.suspects.book().record_crash(now, fingerprint, server, is_trial);
+    let ended = node.suspects.book().crash_count(fingerprint);
     let fields: [(&str, &dyn std::fmt::Display); 5] = [
         ("request", &request),
         ("fingerprint", &fingerprint),
@@ -127,18 +127,18 @@
     ];
     logs::write(event::SERVER_ENDED, &fields);
     node.metrics.server_ended();
-    let notes: Vec<StrikeNote> = note.into_iter().collect();
+    let notes: Vec<CrashReport> = note.into_iter().collect();
     log_standing(node, &notes, StrikeSource::Own);
     node.suspects.publish(now, &notes);
 }
 
 /// Takes note that service discovery lost a server, or lists a later start of it.
 pub fn server_gone(node: &Arc<EntryNode>, server: &ServerEntry) {
-    if server.is_draining || !node.suspects.book().has_doubts() {
+    if server.is_draining || !node.suspects.book().has_unresolved() {
         return;
     }
     let now = node.now();
-    let notes = node.suspects.book().server_gone(now, server);
+    let notes = node.suspects.book().resolve_server_gone(now, server);
     log_standing(node, &notes, StrikeSource::Own);
     node.suspects.publish(now, &notes);
 }
@@ -147,7 +147,7 @@
 pub fn answered(node: &EntryNode, ticket: &ServerTicket) {
     ticket.settle();
     let (now, server, fingerprint) = (node.now(), &ticket.server.instance, ticket.fingerprint);
-    let void = node.suspects.book().answered(now, fingerprint);
+    let void = node.suspects.book().record_answer(now, fingerprint);
     if void.is_empty() {
         return;
     }
@@ -158,7 +158,7 @@
 }
 
 /// Logs the contents that strikes which are news here turn into held ones, once they count.
-fn log_standing(node: &Arc<EntryNode>, news: &[StrikeNote], source: StrikeSource) {
+fn log_standing(node: &Arc<EntryNode>, news: &[CrashReport], source: StrikeSource) {
     let mut contents: Vec<RequestFingerprint> = news.iter().map(|note| note.fingerprint).collect();
     contents.dedup();
     // With fewer there is no hold to wait for.
@@ -170,10 +170,10 @@
 }
 
 async fn log_if_held(node: Arc<EntryNode>, fingerprint: RequestFingerprint, source: StrikeSource, age_ms: u64) {
-    let settles_in = node.suspects.book().settles_in(node.now(), fingerprint);
+    let settles_in = node.suspects.book().time_to_settle(node.now(), fingerprint);
     clock::sleep(settles_in).await;
     if held_for(&node, fingerprint).is_some() {
-        let ended = node.suspects.book().ended(fingerprint);
+        let ended = node.suspects.book().crash_count(fingerprint);
         let fields: [(&str, &dyn std::fmt::Display); 4] =
             [("fingerprint", &fingerprint), ("ended", &ended), ("source", &source.as_str()), ("age_ms", &age_ms)];
         logs::write(event::CONTENT_HELD, &fields);
@@ -181,10 +181,10 @@
 }
 
 /// Takes over strikes; returns those that are news here.
-fn join(node: &Arc<EntryNode>, notes: &[StrikeNote], source: StrikeSource) -> Vec<StrikeNote> {
+fn join(node: &Arc<EntryNode>, notes: &[CrashReport], source: StrikeSource) -> Vec<CrashReport> {
     let now = node.now();
     let mut book = node.suspects.book();
-    let news: Vec<StrikeNote> = notes.iter().filter(|note| book.join(now, note)).copied().collect();
+    let news: Vec<CrashReport> = notes.iter().filter(|note| book.merge(now, note)).copied().collect();
     drop(book);
     log_standing(node, &news, source);
     news
