--- a/crates/trestlerack/benches/decisions.rs
+++ b/crates/trestlerack/benches/decisions.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use trestlerack::process::{
-    BoardSettings, Heartbeat, Liveness, MembershipEvent, MembershipSettings, NodeView, OwnerTable, OwnershipView,
+    BoardSettings, EligibleNode, EngineOwners, Heartbeat, Liveness, MembershipEvent, MembershipSettings, OwnershipView,
     PeerInfo, PeerMembership, PeerUpdate, ServerBoard, ServerEntry, ServerNeed, ServerRegistry, ServerRoom,
 };
 use trestlerack::request::{
@@ -35,7 +35,7 @@
 }
 
 fn view(nodes: usize) -> OwnershipView {
-    let node = |number| NodeView { name: format!("node-{number:03}").into(), zone: zone(number) };
+    let node = |number| EligibleNode { name: format!("node-{number:03}").into(), zone: zone(number) };
     OwnershipView::new((0..nodes).map(node).collect())
 }
 
@@ -231,7 +231,7 @@
 fn owner_change(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("owners-after-a-node-left");
     for (nodes, engines) in [(13, 100), (13, 1_000), (370, 1_000), (370, 12_000)] {
-        let mut table = OwnerTable::default();
+        let mut table = EngineOwners::default();
         table.set_nodes(view(nodes));
         for number in 0..engines {
             table.set_engine(&engine_name(number), &"m".into(), &zone(number), 4);
@@ -244,14 +244,14 @@
     group.finish();
     let mut group = criterion.benchmark_group("owners-of-a-model");
     for nodes in NODES {
-        let mut table = OwnerTable::default();
+        let mut table = EngineOwners::default();
         table.set_nodes(view(nodes));
         for number in 0..12_000 {
             table.set_engine(&engine_name(number), &"m".into(), &zone(number), 4);
         }
         let places = places();
         group.bench_function(BenchmarkId::from_parameter(nodes), |bench| {
-            bench.iter(|| black_box(table.owners("m", &places)));
+            bench.iter(|| black_box(table.model_owners("m", &places)));
         });
     }
 }
--- a/crates/trestlerack/src/process/duty_gate.rs
+++ b/crates/trestlerack/src/process/duty_gate.rs
@@ -1,7 +1,7 @@
-//! When the holder of the lease may begin with a duty to the platform.
+//! Decides when a lease holder may make the calls of a duty to the platform.
 //!
-//! The platform may not check fencing numbers, so no call of an earlier holder may arrive behind
-//! one of a later holder, and no two holders may take turns; see
+//! The platform may not check fencing tokens. No call of an earlier holder may therefore arrive after one
+//! of a later holder, and calls of two holders must not alternate; see
 //! [docs/PLATFORM.md](../../../../docs/PLATFORM.md#duties).
 
 use crate::Timestamp;
@@ -10,9 +10,9 @@
 /// Settings of a [`DutyGate`].
 #[derive(Clone, Debug)]
 pub struct DutySettings {
-    /// Longest time that a call of the holder before may be under way.
+    /// Maximum time that a call of the previous holder may be in flight.
     pub call_time: Duration,
-    /// Time within which a holder, another one and the first one again must not all have called.
+    /// Time within which calls must not alternate from one holder to another and back to the first.
     pub handover: Duration,
 }
 
@@ -22,24 +22,24 @@
     }
 }
 
-/// Says whether a node that holds the lease may call.
+/// Decides whether a node that holds the lease may send a duty call.
 #[derive(Clone, Debug)]
 pub struct DutyGate {
     settings: DutySettings,
-    /// Fencing number of the lease as it was held last, and since when.
+    /// Fencing token of the lease as it was held last, and the time from which it was held.
     held: Option<(u64, Timestamp)>,
-    /// Fencing number and time of this node's last call. A process that starts cannot know what the
-    /// one before it called, so its start counts as a call.
-    called: (u64, Timestamp),
+    /// Fencing token and time of this node's last call. A new process cannot know the calls of the
+    /// previous process on this node, so its start counts as a call.
+    last_call: (u64, Timestamp),
 }
 
 impl DutyGate {
-    /// Builds the gate of a process that starts at `now`.
+    /// Builds the gate of a process that started at `now`.
     pub fn new(settings: DutySettings, now: Timestamp) -> Self {
-        Self { settings, held: None, called: (0, now) }
+        Self { settings, held: None, last_call: (0, now) }
     }
 
-    /// Returns whether a call with the fencing number `fence`, which is held at `now`, may be sent.
+    /// Returns whether a call may be sent at `now` under the held fencing token `fence`.
     pub fn may_call(&mut self, now: Timestamp, fence: u64) -> bool {
         let (_, since) = match self.held {
             Some(held) if held.0 == fence => held,
@@ -49,16 +49,16 @@
         if fence <= 1 {
             return true;
         }
-        let (last_fence, called_at) = self.called;
-        let is_clear = now.since(since) >= self.settings.call_time;
-        // The last call may have arrived as late as a call may be.
-        let turn_time = self.settings.handover + self.settings.call_time;
-        let is_turn = last_fence == fence || now.since(called_at) >= turn_time;
-        is_clear && is_turn
+        let (last_fence, called_at) = self.last_call;
+        let is_predecessor_done = now.since(since) >= self.settings.call_time;
+        // The last call may have been in flight for the whole call time.
+        let alternation_time = self.settings.handover + self.settings.call_time;
+        let avoids_alternation = last_fence == fence || now.since(called_at) >= alternation_time;
+        is_predecessor_done && avoids_alternation
     }
 
-    /// Records that a call with the fencing number `fence` is sent at `now`.
-    pub fn called(&mut self, now: Timestamp, fence: u64) {
-        self.called = (fence, now);
+    /// Records that a call with the fencing token `fence` is sent at `now`.
+    pub fn record_call(&mut self, now: Timestamp, fence: u64) {
+        self.last_call = (fence, now);
     }
 }
--- a/crates/trestlerack/src/process/feed_log.rs
+++ b/crates/trestlerack/src/process/feed_log.rs
@@ -1,84 +1,85 @@
-//! The changes that a follower of the store passes on to other nodes.
+//! The change feed with which a follower of the store relays changed rows to other nodes.
 
 use crate::Name;
 use crate::rows::StoredRow;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashSet};
 
-/// Removed rows that are remembered, for those that have not heard of their removal.
-const MOST_REMOVED: usize = 4_096;
+/// Maximum number of tombstones of removed rows, which are kept for readers that have not seen the
+/// removal yet.
+const MAX_TOMBSTONES: usize = 4_096;
 
 type RowKey = (Name, Name, Name);
 
-/// How far a node has heard a follower's changes. Numbers of one follower mean nothing to another.
+/// A reader's position in the change feed of one follower. It is meaningless to other followers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FeedPlace {
-    /// The follower's process, and the parts that it drew.
+pub struct FeedPosition {
+    /// Random number that identifies the follower's process; positions of other epochs are unknown to it.
     pub epoch: u64,
-    /// Number of the last change.
+    /// Number of the last change that was read.
     pub number: u64,
 }
 
-/// The rows of the tables that a follower reads, as far as others are to know them, with a number for each
-/// change.
+/// The rows that a follower relays to other nodes, each with the number of its last change.
 #[derive(Debug, Default)]
-pub struct FeedLog {
-    place: FeedPlace,
+pub struct ChangeFeed {
+    position: FeedPosition,
     rows: BTreeMap<RowKey, (u64, StoredRow)>,
     order: BTreeMap<u64, RowKey>,
-    /// Removed rows among them, by number.
+    /// Keys of the tombstones in `rows`, by change number.
     removed: BTreeMap<u64, RowKey>,
-    /// Number up to which removals were forgotten.
-    forgotten: u64,
+    /// Change number up to which tombstones were dropped.
+    dropped_through: u64,
 }
 
-impl FeedLog {
-    /// Builds a log without rows.
+impl ChangeFeed {
+    /// Builds a feed without rows.
     pub fn new(epoch: u64) -> Self {
-        Self { place: FeedPlace { epoch, number: 0 }, ..Self::default() }
+        Self { position: FeedPosition { epoch, number: 0 }, ..Self::default() }
     }
 
-    /// Returns how far the log goes.
-    pub fn place(&self) -> FeedPlace {
-        self.place
+    /// Returns the position of the newest change.
+    pub fn position(&self) -> FeedPosition {
+        self.position
     }
 
-    /// Forgets all rows.
+    /// Drops all rows. Readers at an earlier position have to read all rows anew.
     pub fn clear(&mut self) {
-        *self = Self { place: self.place, forgotten: self.place.number, ..Self::default() };
+        *self = Self { position: self.position, dropped_through: self.position.number, ..Self::default() };
     }
 
-    /// Takes over a changed or removed row.
+    /// Appends a changed or removed row.
     pub fn put(&mut self, row: StoredRow) {
         let key = (row.table.clone(), row.partition.clone(), row.key.clone());
         if row.removed && !self.rows.contains_key(&key) {
             return;
         }
-        self.place.number += 1;
-        let number = self.place.number;
+        self.position.number += 1;
+        let number = self.position.number;
         if row.removed {
             self.removed.insert(number, key.clone());
         }
         let row = StoredRow { value: if row.removed { bytes::Bytes::new() } else { row.value }, ..row };
-        if let Some((before, _)) = self.rows.insert(key.clone(), (number, row)) {
-            self.order.remove(&before);
-            self.removed.remove(&before);
+        if let Some((previous, _)) = self.rows.insert(key.clone(), (number, row)) {
+            self.order.remove(&previous);
+            self.removed.remove(&previous);
         }
         self.order.insert(number, key);
-        while self.removed.len() > MOST_REMOVED {
+        while self.removed.len() > MAX_TOMBSTONES {
             let Some((number, key)) = self.removed.pop_first() else { return };
             self.order.remove(&number);
             self.rows.remove(&key);
-            self.forgotten = number;
+            self.dropped_through = number;
         }
     }
 
-    /// Takes over a table that was read whole: rows that it lacks were removed.
+    /// Replaces the rows of a table that was read in full; held rows that are missing there become
+    /// removals.
     pub fn replace(&mut self, table: &str, rows: Vec<StoredRow>) {
-        let listed: HashSet<(&Name, &Name)> = rows.iter().map(|row| (&row.partition, &row.key)).collect();
-        let of_table = self.rows.values().map(|(_, row)| row).filter(|row| &*row.table == table && !row.removed);
+        let present: HashSet<(&Name, &Name)> = rows.iter().map(|row| (&row.partition, &row.key)).collect();
+        let table_rows = self.rows.values().map(|(_, row)| row).filter(|row| &*row.table == table && !row.removed);
         let missing: Vec<StoredRow> =
-            of_table.filter(|row| !listed.contains(&(&row.partition, &row.key))).cloned().collect();
+            table_rows.filter(|row| !present.contains(&(&row.partition, &row.key))).cloned().collect();
         for row in missing {
             self.put(StoredRow { removed: true, ..row });
         }
@@ -91,24 +92,25 @@
         }
     }
 
-    /// Returns the row that is held under a key.
+    /// Returns the row under a key, unless it was removed.
     pub fn get(&self, table: &str, partition: &str, key: &str) -> Option<&StoredRow> {
         let held = self.rows.get(&(table.into(), partition.into(), key.into()));
         held.map(|(_, row)| row).filter(|row| !row.removed)
     }
 
-    /// Returns the changes after a place that `is_wanted` lets through; `None` if they are not known any
-    /// more, so that all rows are to be taken over.
-    pub fn changes(&self, after: FeedPlace, is_wanted: impl Fn(&StoredRow) -> bool) -> Option<Vec<StoredRow>> {
-        let is_known = after.epoch == self.place.epoch && (self.forgotten..=self.place.number).contains(&after.number);
+    /// Returns the changes after a position that `is_wanted` selects, or `None` if they are no longer
+    /// known and the reader has to read all rows anew.
+    pub fn changes(&self, after: FeedPosition, is_wanted: impl Fn(&StoredRow) -> bool) -> Option<Vec<StoredRow>> {
+        let is_known =
+            after.epoch == self.position.epoch && (self.dropped_through..=self.position.number).contains(&after.number);
         if !is_known {
             return None;
         }
-        let news = self.order.range(after.number + 1..).filter_map(|(_, key)| self.rows.get(key));
-        Some(news.map(|(_, row)| row).filter(|row| is_wanted(row)).cloned().collect())
+        let changes = self.order.range(after.number + 1..).filter_map(|(_, key)| self.rows.get(key));
+        Some(changes.map(|(_, row)| row).filter(|row| is_wanted(row)).cloned().collect())
     }
 
-    /// Returns all rows that `is_wanted` lets through.
+    /// Returns all rows that `is_wanted` selects.
     pub fn all(&self, is_wanted: impl Fn(&StoredRow) -> bool) -> Vec<StoredRow> {
         let rows = self.rows.values().map(|(_, row)| row);
         rows.filter(|row| !row.removed && is_wanted(row)).cloned().collect()
--- a/crates/trestlerack/src/process/job_owner.rs
+++ b/crates/trestlerack/src/process/job_owner.rs
@@ -1,57 +1,60 @@
-//! Chooses the node that drives a job: one with a processor that is up to it.
+//! Chooses the owner of a batch job: the node that drives it, which needs enough processor capacity.
 
 use crate::Name;
 use crate::hash::{hash_parts, rendezvous_weight};
 use std::cmp::Reverse;
 
-/// Share of the largest capacity from which a node counts as large. The users' VMs of one class have
-/// 0.5 or 0.12 of a core; a driver starts some 200 runs within a moment when a step is submitted.
-const LARGE_SHARE: f64 = 0.5;
+/// Fraction of the largest capacity from which a node counts as large. The users' VMs have 0.5 or 0.12 of
+/// a core, and an owner starts some 200 runs at once when a step is submitted.
+const LARGE_CAPACITY_RATIO: f64 = 0.5;
 
-/// A node that may drive a job.
+/// A node that may own a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnerCandidate {
     /// Name of the node.
     pub name: Name,
-    /// What its processor can do, in thousandths of a core.
+    /// Processor capacity, in thousandths of a core.
     pub capacity: u32,
-    /// Models whose open jobs it drives, other than the model of the job.
+    /// Number of other models whose open jobs the node owns; the model of the new job does not count.
     pub models: usize,
 }
 
-/// Returns the node that is to drive the next job of a model.
+/// Returns the owner for the next job of a model.
 ///
-/// `newest` is the owner of the newest job of the model, which knows the engines' load and holds
-/// connections to them: it goes on unless it is small and a large one is there. Otherwise it is
-/// the large node that drives the fewest other models, the acceptor `own` among equals.
+/// `newest` owns the newest job of the model, so it knows the engines' load and has connections to them.
+/// It is chosen again, unless it is gone or it is small and there is a large node. Otherwise the large
+/// node that owns jobs of the fewest other models is chosen. A tie goes to `own`, the node that accepted
+/// the job, or else to the highest rendezvous weight.
 pub fn choose_job_owner<'a>(
     model: &str,
     own: &str,
     newest: Option<&str>,
     candidates: &'a [OwnerCandidate],
 ) -> Option<&'a OwnerCandidate> {
-    let least = large_capacity(candidates.iter().map(|candidate| candidate.capacity));
-    let large = || candidates.iter().filter(|candidate| candidate.capacity >= least);
+    let min_capacity = large_capacity(candidates.iter().map(|candidate| candidate.capacity));
+    let large = || candidates.iter().filter(|candidate| candidate.capacity >= min_capacity);
     let key = hash_parts(&[model]);
     let cost = |candidate: &&OwnerCandidate| {
         let weight = rendezvous_weight(key, &candidate.name);
         (candidate.models, &*candidate.name != own, Reverse(weight))
     };
-    let goes_on = newest.and_then(|newest| large().find(|candidate| &*candidate.name == newest));
-    goes_on.or_else(|| large().min_by_key(cost))
+    let current_owner = newest.and_then(|newest| large().find(|candidate| &*candidate.name == newest));
+    current_owner.or_else(|| large().min_by_key(cost))
 }
 
-/// Returns the place of `own` in the line of a job's successors: large nodes come first, and among
-/// equals the rendezvous weight for the job decides. Each node computes the same line.
+/// Returns the position of `own` in the order in which nodes take over a job whose owner is lost.
+///
+/// Large nodes come first, and the rendezvous weight for the job breaks ties, so each node computes the
+/// same order.
 pub fn successor_rank(job: &str, own: (&str, u32), others: &[(Name, u32)]) -> usize {
-    let least = large_capacity(others.iter().map(|(_, capacity)| *capacity).chain([own.1]));
+    let min_capacity = large_capacity(others.iter().map(|(_, capacity)| *capacity).chain([own.1]));
     let key = hash_parts(&[job]);
-    let place = |name: &str, capacity: u32| (capacity >= least, rendezvous_weight(key, name));
-    let own_place = place(own.0, own.1);
-    others.iter().filter(|(name, capacity)| **name != *own.0 && place(name, *capacity) > own_place).count()
+    let rank = |name: &str, capacity: u32| (capacity >= min_capacity, rendezvous_weight(key, name));
+    let own_rank = rank(own.0, own.1);
+    others.iter().filter(|(name, capacity)| **name != *own.0 && rank(name, *capacity) > own_rank).count()
 }
 
 /// Returns the capacity from which a node counts as large.
 fn large_capacity(capacities: impl Iterator<Item = u32>) -> u32 {
-    (f64::from(capacities.max().unwrap_or(0)) * LARGE_SHARE).ceil() as u32
+    (f64::from(capacities.max().unwrap_or(0)) * LARGE_CAPACITY_RATIO).ceil() as u32
 }
--- a/crates/trestlerack/src/process/lease.rs
+++ b/crates/trestlerack/src/process/lease.rs
@@ -1,4 +1,4 @@
-//! A lease in the table service, judged by each node's own monotonic clock.
+//! A lease that is kept in a table row and timed by each node's own monotonic clock.
 
 use crate::{Name, Timestamp};
 use serde::{Deserialize, Serialize};
@@ -9,13 +9,13 @@
 pub struct LeaseRow {
     /// Name of the holder.
     pub holder: Name,
-    /// Incarnation of the holder; a restarted holder is another one.
+    /// Incarnation of the holder; a restarted process counts as a different holder.
     pub incarnation: u64,
-    /// Fencing number: grows with each change of holder and never shrinks.
+    /// Fencing token, which grows with each change of holder and never decreases.
     pub fence: u64,
-    /// Grows with each renewal, so that the row's version changes.
+    /// Number of renewals, so that each renewal changes the row's version.
     pub renewal: u64,
-    /// Whether the holder gave the lease back.
+    /// Whether the holder released the lease.
     pub released: bool,
 }
 
@@ -23,12 +23,12 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LeaseSettings {
-    /// Time for which a renewal holds, counted from just before it was sent.
+    /// Time for which a renewal is valid, counted from just before it was sent.
     pub ttl: Duration,
-    /// Time added by everyone else before the lease counts as lapsed, for clocks that drift.
+    /// Time that other nodes add to the TTL before the lease counts as expired, to allow for clock drift.
     pub margin: Duration,
-    /// Longest time that an order may be under way; a new holder waits it out before it gives
-    /// orders to engines that do not check fencing.
+    /// Maximum time that an order may be in flight. A new holder waits for this time before it sends
+    /// orders to engines that do not check fencing tokens.
     pub order_time: Duration,
 }
 
@@ -40,32 +40,32 @@
 
 /// What to do about the lease now.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum LeaseStep {
+pub enum LeaseAction {
     /// Nothing.
     Wait,
-    /// Write this row on condition that the row read last has not changed.
+    /// Write this row on condition that the row has not changed since it was read.
     Write(LeaseRow),
 }
 
-/// The right of a holder to act until a moment, to be checked next to each act.
+/// The right of a holder to act until a given time, to be checked right before each action.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseGrant {
-    /// Fencing number.
+    /// Fencing token.
     pub fence: u64,
-    /// Moment from which another node may hold the lease.
+    /// Time from which another node may hold the lease.
     pub valid_until: Timestamp,
 }
 
-/// Takes, renews and judges one lease.
+/// Acquires, renews and releases one lease.
 ///
-/// Other holders' rows are timed by when this node saw them change, never by a time that the
-/// holder wrote, so clocks need not agree.
+/// Another holder's lease expires by the time at which this node saw its row change, never by a time
+/// that the holder wrote, so the nodes' clocks need not agree.
 #[derive(Clone, Debug)]
 pub struct LeaseKeeper {
     settings: LeaseSettings,
     own: (Name, u64),
-    seen_version: Option<u64>,
-    seen_at: Timestamp,
+    observed_version: Option<u64>,
+    changed_at: Timestamp,
     held: Option<HeldLease>,
 }
 
@@ -73,66 +73,76 @@
 struct HeldLease {
     row: LeaseRow,
     valid_until: Timestamp,
-    quiet_until: Timestamp,
+    unfenced_orders_from: Timestamp,
 }
 
 impl LeaseKeeper {
     /// Builds a keeper for the node `name` at `incarnation`.
     pub fn new(settings: LeaseSettings, name: Name, incarnation: u64) -> Self {
-        Self { settings, own: (name, incarnation), seen_version: None, seen_at: Timestamp::default(), held: None }
+        Self {
+            settings,
+            own: (name, incarnation),
+            observed_version: None,
+            changed_at: Timestamp::default(),
+            held: None,
+        }
     }
 
-    /// Decides what to do after the row was read at `now`.
-    pub fn decide(&mut self, now: Timestamp, row: Option<(u64, LeaseRow)>) -> LeaseStep {
-        let Some((version, row)) = row else { return LeaseStep::Write(self.next_row(None)) };
-        if self.seen_version != Some(version) {
-            self.seen_version = Some(version);
-            self.seen_at = now;
+    /// Decides what to do with the row and its version as they were read at `now`.
+    pub fn decide(&mut self, now: Timestamp, row: Option<(u64, LeaseRow)>) -> LeaseAction {
+        let Some((version, row)) = row else { return LeaseAction::Write(self.next_row(None)) };
+        if self.observed_version != Some(version) {
+            self.observed_version = Some(version);
+            self.changed_at = now;
         }
         let is_own = (&row.holder, row.incarnation) == (&self.own.0, self.own.1);
         if is_own && !row.released {
-            return LeaseStep::Write(LeaseRow { renewal: row.renewal + 1, ..row });
+            return LeaseAction::Write(LeaseRow { renewal: row.renewal + 1, ..row });
         }
         self.held = None;
-        let silent = now.since(self.seen_at) >= self.settings.ttl + self.settings.margin;
-        if row.released || silent {
-            return LeaseStep::Write(self.next_row(Some(&row)));
+        let has_expired = now.since(self.changed_at) >= self.settings.ttl + self.settings.margin;
+        if row.released || has_expired {
+            return LeaseAction::Write(self.next_row(Some(&row)));
         }
-        LeaseStep::Wait
+        LeaseAction::Wait
     }
 
-    /// Records that a row was written by a transaction sent at `sent_at`.
+    /// Records that `row` was written by a transaction that was sent at `sent_at`.
     pub fn written(&mut self, sent_at: Timestamp, row: LeaseRow) {
         let renewed = self.held.as_ref().is_some_and(|held| held.row.fence == row.fence);
-        let quiet_until = match &self.held {
-            Some(held) if renewed => held.quiet_until,
+        let unfenced_orders_from = match &self.held {
+            Some(held) if renewed => held.unfenced_orders_from,
             _ => sent_at + self.settings.ttl + self.settings.order_time,
         };
         let valid_until = sent_at + self.settings.ttl;
-        self.held = Some(HeldLease { row, valid_until, quiet_until });
+        self.held = Some(HeldLease { row, valid_until, unfenced_orders_from });
     }
 
-    /// Returns the fencing number if the lease is held at `now`, checked next to each send.
+    /// Returns the fencing token if the lease is held at `now`. To be called right before each send.
     pub fn fence(&self, now: Timestamp) -> Option<u64> {
         self.grant().filter(|grant| now < grant.valid_until).map(|grant| grant.fence)
     }
 
-    /// Returns what the lease allows, as of its last renewal.
+    /// Returns the grant of the last renewal, which may have expired.
     pub fn grant(&self) -> Option<LeaseGrant> {
         let held = self.held.as_ref()?;
         Some(LeaseGrant { fence: held.row.fence, valid_until: held.valid_until })
     }
 
-    /// Returns the fencing number for an order at `now` to an engine that does or does not check
-    /// it. The first holder of all waits like any other, because it cannot know that it is first.
+    /// Returns the fencing token for an order at `now` to an engine, if one may be sent.
+    ///
+    /// For an engine that does not check tokens, a new holder has to wait until no order of its
+    /// predecessor can be in flight. The very first holder waits too, because it cannot know that it is
+    /// the first.
     pub fn order_fence(&self, now: Timestamp, checks_fencing: bool) -> Option<u64> {
         let held = self.held.as_ref()?;
-        let quiet_over = checks_fencing || now >= held.quiet_until;
-        self.fence(now).filter(|_| quiet_over)
+        let may_order = checks_fencing || now >= held.unfenced_orders_from;
+        self.fence(now).filter(|_| may_order)
     }
 
-    /// Gives the lease back; returns the row to write over `row`, as it was read last, if that is
-    /// this holder's own. The row of a successor must stay: its fencing number would come again.
+    /// Releases the lease. Returns the row to write over `row`, the row as it was read last, if that is
+    /// still this holder's own. A successor's row must not be overwritten, because its fencing token
+    /// would then be issued again.
     pub fn release(&mut self, row: Option<&LeaseRow>) -> Option<LeaseRow> {
         let held = self.held.take()?;
         let is_same = |row: &LeaseRow| {
--- a/crates/trestlerack/src/process/leaving.rs
+++ b/crates/trestlerack/src/process/leaving.rs
@@ -1,85 +1,90 @@
-//! Which backend servers receive no new work, from three signals, whichever comes first.
+//! Tracks which backend servers are draining, that is, receive no new work before they stop.
 
 use super::BroadcastQueue;
 use crate::Name;
 use crate::connection::{BackendNews, NewsSource};
 use std::collections::{HashMap, HashSet};
 
-/// News carried by one heartbeat at most.
-const MAX_NEWS: usize = 8;
+/// Maximum number of updates in one heartbeat.
+const MAX_UPDATES: usize = 8;
 
-/// Merges the platform's list, backend servers' own answers, operators' orders and peers' news.
+/// The backend servers that the configuration, the platform's list, their own answers or an operator's
+/// order call draining; one of these sources is enough.
 ///
-/// The configuration is a level that each node holds for itself. The rest is news with a stamp,
-/// which peers pass on: it spreads while the platform's services are down, and a node need not read
-/// the platform's list often for all to know soon what one of them has read.
+/// What the configuration says is local state of each node. The other sources become updates with a
+/// timestamp, which peers gossip: they spread while the platform's services are down, and all nodes
+/// soon know what one of them has read in the platform's list, so that none has to read it often.
 #[derive(Clone, Debug, Default)]
-pub struct LeavingBoard {
+pub struct DrainingServers {
     declared: HashSet<Name>,
-    news: HashMap<(Name, NewsSource), BackendNews>,
-    queue: BroadcastQueue<BackendNews>,
+    updates: HashMap<(Name, NewsSource), BackendNews>,
+    outgoing: BroadcastQueue<BackendNews>,
 }
 
-impl LeavingBoard {
+impl DrainingServers {
     /// Returns whether `backend` receives no new work.
-    pub fn is_leaving(&self, backend: &str) -> bool {
+    pub fn is_draining(&self, backend: &str) -> bool {
         let sources = [NewsSource::Answer, NewsSource::Order, NewsSource::List];
-        sources.iter().any(|source| self.told(backend, *source)) || self.declared.contains(backend)
+        sources.iter().any(|source| self.is_reported(backend, *source)) || self.declared.contains(backend)
     }
 
-    /// Takes in the backend servers that the platform's list calls leaving; the others are not.
-    /// Returns those for which that is news.
-    pub fn listed(&mut self, leaving: &[Name], stamp: u64, nodes: usize) -> Vec<Name> {
-        let told = self.news.values().filter(|news| news.source == NewsSource::List && news.leaving);
-        let back: Vec<Name> =
-            told.map(|news| news.backend.clone()).filter(|backend| !leaving.contains(backend)).collect();
-        let gone = leaving.iter().filter(|backend| !self.told(backend, NewsSource::List)).cloned();
-        let changes: Vec<(Name, bool)> =
-            gone.map(|backend| (backend, true)).chain(back.into_iter().map(|backend| (backend, false))).collect();
+    /// Replaces what the platform's list says: the servers in `leaving` are draining and no others.
+    /// Returns the servers whose state in the list has changed.
+    pub fn merge_list(&mut self, leaving: &[Name], stamp: u64, nodes: usize) -> Vec<Name> {
+        let listed = self.updates.values().filter(|update| update.source == NewsSource::List && update.leaving);
+        let returned: Vec<Name> =
+            listed.map(|update| update.backend.clone()).filter(|backend| !leaving.contains(backend)).collect();
+        let newly_listed = leaving.iter().filter(|backend| !self.is_reported(backend, NewsSource::List)).cloned();
+        let changes: Vec<(Name, bool)> = newly_listed
+            .map(|backend| (backend, true))
+            .chain(returned.into_iter().map(|backend| (backend, false)))
+            .collect();
         for (backend, leaving) in &changes {
-            let news = BackendNews { backend: backend.clone(), source: NewsSource::List, leaving: *leaving, stamp };
-            self.hear(news, nodes);
+            let update = BackendNews { backend: backend.clone(), source: NewsSource::List, leaving: *leaving, stamp };
+            self.merge(update, nodes);
         }
         changes.into_iter().map(|(backend, _)| backend).collect()
     }
 
-    /// Takes in what the configuration says of a backend server.
-    pub fn set_declared(&mut self, backend: &Name, leaving: bool) {
-        if leaving {
+    /// Sets whether the configuration calls a backend server draining.
+    pub fn set_declared(&mut self, backend: &Name, draining: bool) {
+        if draining {
             self.declared.insert(backend.clone());
         } else {
             self.declared.remove(backend);
         }
     }
 
-    /// Takes in news from a peer, or from this node; returns whether it was new.
-    pub fn hear(&mut self, news: BackendNews, nodes: usize) -> bool {
-        let key = (news.backend.clone(), news.source);
-        let held = self.news.get(&key);
-        if held.is_some_and(|held| held.stamp >= news.stamp) {
+    /// Merges an update of a peer or of this node and queues it for gossip. Returns whether it was newer
+    /// than what was known.
+    pub fn merge(&mut self, update: BackendNews, nodes: usize) -> bool {
+        let key = (update.backend.clone(), update.source);
+        let known = self.updates.get(&key);
+        if known.is_some_and(|known| known.stamp >= update.stamp) {
             return false;
         }
-        self.news.insert(key.clone(), news.clone());
-        self.queue.push(news, nodes, |held| (&held.backend, held.source) == (&key.0, key.1));
+        self.updates.insert(key.clone(), update.clone());
+        self.outgoing.push(update, nodes, |queued| (&queued.backend, queued.source) == (&key.0, key.1));
         true
     }
 
-    /// Takes in what a backend server answered at wall clock millisecond `stamp`; only a change
-    /// becomes news.
-    pub fn answered(&mut self, backend: &Name, leaving: bool, stamp: u64, nodes: usize) {
-        if self.told(backend, NewsSource::Answer) != leaving {
-            let news = BackendNews { backend: backend.clone(), source: NewsSource::Answer, leaving, stamp };
-            self.hear(news, nodes);
+    /// Records whether a backend server called itself draining in an answer at wall clock millisecond
+    /// `stamp`. Only a change becomes an update.
+    pub fn record_answer(&mut self, backend: &Name, leaving: bool, stamp: u64, nodes: usize) {
+        if self.is_reported(backend, NewsSource::Answer) != leaving {
+            let update = BackendNews { backend: backend.clone(), source: NewsSource::Answer, leaving, stamp };
+            self.merge(update, nodes);
         }
     }
 
-    fn told(&self, backend: &str, source: NewsSource) -> bool {
-        let news = self.news.get(&(Name::from(backend), source));
-        news.is_some_and(|news| news.leaving)
+    /// Returns whether the newest update from `source` calls the server draining.
+    fn is_reported(&self, backend: &str, source: NewsSource) -> bool {
+        let update = self.updates.get(&(Name::from(backend), source));
+        update.is_some_and(|update| update.leaving)
     }
 
-    /// Takes the news to put on the next heartbeat.
-    pub fn take_news(&mut self) -> Vec<BackendNews> {
-        self.queue.take(MAX_NEWS)
+    /// Takes the updates to send with the next heartbeat.
+    pub fn take_updates(&mut self) -> Vec<BackendNews> {
+        self.outgoing.take(MAX_UPDATES)
     }
 }
--- a/crates/trestlerack/src/process/membership.rs
+++ b/crates/trestlerack/src/process/membership.rs
@@ -1,10 +1,10 @@
-//! Which peers are alive, found out between peers and faster than the platform's list.
+//! Gossip membership with failure detection, which is faster than the platform's membership list.
 //!
-//! Each node probes one peer per interval and piggybacks news on probes and answers, so a node's
-//! traffic does not grow with the number of nodes
+//! Each node probes one peer per interval and piggybacks updates about others on probes and answers,
+//! so a node's traffic does not grow with the number of nodes
 //! ([docs/DESIGN.md](../../../../docs/DESIGN.md#membership)).
 
-use super::{BroadcastQueue, NodeView};
+use super::{BroadcastQueue, EligibleNode};
 use crate::border::ListedNode;
 use crate::trace::TraceHead;
 use crate::{Name, Timestamp};
@@ -16,21 +16,22 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How a peer is doing.
+/// Liveness of a peer, ordered so that a later variant overrides an earlier one of the same
+/// incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Liveness {
-    /// It answers.
+    /// It answers probes.
     Alive,
     /// It failed a probe and has not refuted that yet.
     Suspect,
-    /// It is stopping: it finishes what it has and owns nothing new.
+    /// It is stopping: it finishes its current work and owns nothing new.
     Leaving,
-    /// It stayed silent past the suspicion time, or said that it is gone.
+    /// It did not refute a suspicion in time, or stopped answering after it announced its leave.
     Dead,
 }
 
-/// Who a peer is.
+/// Identity and address of a peer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerInfo {
     /// Name of the VM.
@@ -39,25 +40,26 @@
     pub zone: Name,
     /// Address of the node link listener, as `ip:port`.
     pub link: Name,
-    /// Grows with each restart and each refutation; 0 where only the platform's list knows the peer.
+    /// Incarnation, which grows with each restart and each refutation; 0 if the peer is known from the
+    /// platform's list only.
     pub incarnation: u64,
 }
 
-/// News about a peer.
+/// An update about one peer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerUpdate {
     /// The peer.
     pub peer: PeerInfo,
-    /// How it is doing.
+    /// Its liveness.
     pub liveness: Liveness,
 }
 
-/// What two peers tell each other in a probe and in its answer.
+/// The payload of a probe and of its answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The sender itself.
+    /// State of the sender, as it reports it itself.
     pub sender: PeerUpdate,
-    /// News about others.
+    /// Updates about other peers.
     pub updates: Vec<PeerUpdate>,
 }
 
@@ -65,15 +67,15 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default)]
 pub struct MembershipSettings {
-    /// How long a suspect may stay silent before it counts as dead.
+    /// How long a suspect may leave the suspicion unrefuted before it counts as dead.
     pub suspicion: Duration,
     /// How long a dead peer that is not in the platform's list is remembered.
     pub forget_after: Duration,
-    /// Wait before a peer that came back once owns anything again; it doubles with each flap.
+    /// Time for which a recovered peer owns nothing; it doubles with each flap.
     pub flap_hold: Duration,
     /// Time without a flap after which earlier flaps are forgotten.
     pub flap_memory: Duration,
-    /// News in one heartbeat at most, which bounds its size.
+    /// Maximum number of updates in one heartbeat, which bounds its size.
     pub max_updates: usize,
 }
 
@@ -89,14 +91,14 @@
     }
 }
 
-/// What a membership is told.
+/// An input of a [`PeerMembership`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum MembershipEvent {
     /// A probe interval passed.
     Tick,
-    /// A heartbeat came in, as a probe or as an answer.
+    /// A heartbeat arrived, as a probe or as an answer.
     Received(Heartbeat),
-    /// A probe of this peer was not answered.
+    /// This peer did not answer a probe.
     Unanswered(Name),
     /// The platform's list was read.
     Listed(Vec<ListedNode>),
@@ -104,10 +106,10 @@
     Leave,
 }
 
-/// What a membership asks for.
+/// An output of a [`PeerMembership`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MembershipAction {
-    /// Send a heartbeat to this peer and report the answer or its absence.
+    /// Send a heartbeat to this peer, and report the answer or its absence as an event.
     Probe(PeerInfo),
     /// A peer's liveness changed.
     Changed(PeerUpdate),
@@ -133,15 +135,16 @@
     listed_leaving: bool,
     peers: BTreeMap<Name, PeerState>,
     probe_order: Vec<Name>,
-    news: BroadcastQueue<PeerUpdate>,
+    outgoing: BroadcastQueue<PeerUpdate>,
     seed: u64,
     random: Pcg64Mcg,
 }
 
-/// One in this many ticks also probes a dead peer that the platform lists, to heal partitions.
+/// One in this many ticks on average also probes a dead peer that the platform lists, so that the two
+/// sides of a healed network partition find each other again.
 const DEAD_PROBE_ODDS: u32 = 4;
 
-/// Largest number of doublings of the flap hold.
+/// Maximum number of doublings of the flap hold.
 const MAX_FLAP_DOUBLINGS: u32 = 5;
 
 impl PeerMembership {
@@ -154,7 +157,7 @@
             listed_leaving: false,
             peers: BTreeMap::new(),
             probe_order: Vec::new(),
-            news: BroadcastQueue::default(),
+            outgoing: BroadcastQueue::default(),
             seed,
             random: Pcg64Mcg::seed_from_u64(seed),
         }
@@ -185,13 +188,13 @@
         }
     }
 
-    /// Builds the heartbeat to send now; it takes news off the queue.
+    /// Builds the heartbeat to send now and takes its updates off the queue.
     pub fn heartbeat(&mut self) -> Heartbeat {
-        let updates = self.news.take(self.settings.max_updates);
+        let updates = self.outgoing.take(self.settings.max_updates);
         Heartbeat { sender: self.own_update(), updates }
     }
 
-    /// Returns every known peer and its liveness, without this node.
+    /// Returns every known peer except this node, with its liveness.
     pub fn peers(&self) -> impl Iterator<Item = PeerUpdate> + '_ {
         self.peers.values().map(|state| PeerUpdate { peer: state.info.clone(), liveness: state.liveness })
     }
@@ -201,21 +204,22 @@
         self.peers.get(name).map(|state| &state.info)
     }
 
-    /// Returns the nodes that may own something now: alive, past their flap hold, this one too
-    /// unless it is leaving.
-    pub fn eligible(&self, now: Timestamp) -> Vec<NodeView> {
+    /// Returns the nodes that may own something at `now`: live peers past their flap hold, and this
+    /// node unless it is leaving. A peer that only the platform's list knows is not among them.
+    pub fn eligible(&self, now: Timestamp) -> Vec<EligibleNode> {
         let peers = self.peers.values().filter(|state| {
             state.liveness == Liveness::Alive && now >= state.eligible_at && state.info.incarnation > 0
         });
-        let mut nodes: Vec<NodeView> = peers.map(|state| NodeView::from(&state.info)).collect();
+        let mut nodes: Vec<EligibleNode> = peers.map(|state| EligibleNode::from(&state.info)).collect();
         if !self.is_leaving() {
-            nodes.push(NodeView::from(&self.own));
+            nodes.push(EligibleNode::from(&self.own));
         }
         nodes.sort_by(|left, right| left.name.cmp(&right.name));
         nodes
     }
 
-    /// Returns whether this node owns nothing new, by its own stop or by the platform's list.
+    /// Returns whether this node may own nothing new, because it is stopping or because the platform's
+    /// list says that it is leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving || self.listed_leaving
     }
@@ -226,7 +230,7 @@
     }
 
     fn tick(&mut self, now: Timestamp) -> Vec<MembershipAction> {
-        let mut actions = self.bury_suspects(now);
+        let mut actions = self.expire_suspects(now);
         self.forget_dead(now);
         actions.extend(self.next_probe().map(MembershipAction::Probe));
         if self.random.random_ratio(1, DEAD_PROBE_ODDS) {
@@ -235,7 +239,7 @@
         actions
     }
 
-    fn bury_suspects(&mut self, now: Timestamp) -> Vec<MembershipAction> {
+    fn expire_suspects(&mut self, now: Timestamp) -> Vec<MembershipAction> {
         let limit = self.settings.suspicion;
         let overdue: Vec<PeerInfo> = self
             .peers
@@ -243,9 +247,9 @@
             .filter(|state| state.liveness == Liveness::Suspect && now.since(state.changed_at) >= limit)
             .map(|state| state.info.clone())
             .collect();
-        let buried = overdue.into_iter().map(|peer| PeerUpdate { peer, liveness: Liveness::Dead });
-        let buried: Vec<_> = buried.collect();
-        buried.into_iter().filter_map(|update| self.learn(now, update)).collect()
+        let expired = overdue.into_iter().map(|peer| PeerUpdate { peer, liveness: Liveness::Dead });
+        let expired: Vec<_> = expired.collect();
+        expired.into_iter().filter_map(|update| self.merge_update(now, update)).collect()
     }
 
     fn forget_dead(&mut self, now: Timestamp) {
@@ -254,8 +258,8 @@
             .retain(|_, state| state.listed || state.liveness != Liveness::Dead || now.since(state.changed_at) < limit);
     }
 
-    /// Probes go round in a shuffled order, so that each peer is probed once per round and no two
-    /// nodes walk in step.
+    /// Returns the next peer to probe. Each round visits the peers in a newly shuffled order, so that
+    /// every peer is probed once per round and nodes do not probe the same peers at the same time.
     fn next_probe(&mut self) -> Option<PeerInfo> {
         for _ in 0..=self.peers.len() {
             if self.probe_order.is_empty() {
@@ -282,29 +286,29 @@
     }
 
     fn receive(&mut self, now: Timestamp, heartbeat: Heartbeat) -> Vec<MembershipAction> {
-        let mut actions: Vec<MembershipAction> = self.hear_directly(now, heartbeat.sender).into_iter().collect();
+        let mut actions: Vec<MembershipAction> = self.merge_sender(now, heartbeat.sender).into_iter().collect();
         for update in heartbeat.updates {
-            actions.extend(self.learn(now, update));
+            actions.extend(self.merge_update(now, update));
         }
         actions
     }
 
-    /// A heartbeat from the peer itself proves that it runs, so it clears a suspicion here at once.
-    /// If this node still holds worse news of the same incarnation, that news is repeated: the
-    /// peer hears it in the answer and refutes it for everyone with a higher incarnation.
-    fn hear_directly(&mut self, now: Timestamp, sender: PeerUpdate) -> Option<MembershipAction> {
-        let held = self.peers.get(&sender.peer.name);
-        let contradicts = held.is_some_and(|state| {
+    /// Merges what a peer reports about itself. If this node has it as suspect or dead in the same
+    /// incarnation, that state is kept and queued again: the peer receives it in the answer and refutes
+    /// it for all nodes with a higher incarnation.
+    fn merge_sender(&mut self, now: Timestamp, sender: PeerUpdate) -> Option<MembershipAction> {
+        let known = self.peers.get(&sender.peer.name);
+        let contradicts = known.is_some_and(|state| {
             state.info.incarnation == sender.peer.incarnation
                 && matches!(state.liveness, Liveness::Suspect | Liveness::Dead)
         });
         if contradicts {
-            let state = held.expect("a contradicting state is held");
-            let news = PeerUpdate { peer: state.info.clone(), liveness: state.liveness };
-            self.spread(news);
+            let state = known.expect("the contradicting state is known");
+            let update = PeerUpdate { peer: state.info.clone(), liveness: state.liveness };
+            self.enqueue(update);
             return None;
         }
-        self.learn(now, sender)
+        self.merge_update(now, sender)
     }
 
     fn suspect(&mut self, now: Timestamp, name: &str) -> Option<MembershipAction> {
@@ -314,7 +318,7 @@
         }
         let liveness = if state.liveness == Liveness::Leaving { Liveness::Dead } else { Liveness::Suspect };
         let update = PeerUpdate { peer: state.info.clone(), liveness };
-        self.learn(now, update)
+        self.merge_update(now, update)
     }
 
     fn merge_list(&mut self, now: Timestamp, nodes: Vec<ListedNode>) -> Vec<MembershipAction> {
@@ -328,11 +332,12 @@
         actions
     }
 
-    /// The list lags and may be wrong both ways: it introduces peers and says who is leaving, and
-    /// it never makes a peer alive that does not answer or dead that does.
+    /// Merges an entry of the platform's list. The list lags and may be wrong in both directions, so it
+    /// only introduces peers and marks them as leaving; it never revives a peer that does not answer or
+    /// declares one dead that does.
     fn merge_listed(&mut self, now: Timestamp, node: ListedNode) -> Option<MembershipAction> {
         if node.name == self.own.name {
-            self.listed_as_leaving(node.leaving);
+            self.set_listed_leaving(node.leaving);
             return None;
         }
         let known = self.peers.get(&node.name).map(|state| (state.info.clone(), state.liveness));
@@ -344,42 +349,42 @@
             Some((peer, Liveness::Alive)) if node.leaving => PeerUpdate { peer, liveness: Liveness::Leaving },
             Some(_) => return None,
         };
-        let action = self.learn(now, update);
+        let action = self.merge_update(now, update);
         if let Some(state) = self.peers.get_mut(&node.name) {
             state.listed = true;
         }
         action
     }
 
-    fn listed_as_leaving(&mut self, leaving: bool) {
+    fn set_listed_leaving(&mut self, leaving: bool) {
         if self.listed_leaving != leaving {
             self.listed_leaving = leaving;
             self.own.incarnation += 1;
         }
     }
 
-    /// Takes in news if it is newer than what is held: a higher incarnation, or worse news of the
-    /// same one.
-    fn learn(&mut self, now: Timestamp, update: PeerUpdate) -> Option<MembershipAction> {
+    /// Applies an update if it supersedes the known state: a higher incarnation, or a later liveness of
+    /// the same incarnation.
+    fn merge_update(&mut self, now: Timestamp, update: PeerUpdate) -> Option<MembershipAction> {
         if update.peer.name == self.own.name {
             self.refute(&update);
             return None;
         }
         let incoming = (update.peer.incarnation, update.liveness);
-        let held = self.peers.get(&update.peer.name).cloned();
-        if held.as_ref().is_some_and(|held| incoming <= (held.info.incarnation, held.liveness)) {
+        let known = self.peers.get(&update.peer.name).cloned();
+        if known.as_ref().is_some_and(|known| incoming <= (known.info.incarnation, known.liveness)) {
             return None;
         }
-        let state = self.advance(now, held, &update);
+        let state = self.advance(now, known, &update);
         self.peers.insert(update.peer.name.clone(), state);
         if update.peer.incarnation > 0 {
-            self.spread(update.clone());
+            self.enqueue(update.clone());
         }
         Some(MembershipAction::Changed(update))
     }
 
-    fn advance(&self, now: Timestamp, held: Option<PeerState>, update: &PeerUpdate) -> PeerState {
-        let fresh = PeerState {
+    fn advance(&self, now: Timestamp, known: Option<PeerState>, update: &PeerUpdate) -> PeerState {
+        let initial = PeerState {
             info: update.peer.clone(),
             liveness: update.liveness,
             changed_at: now,
@@ -388,16 +393,16 @@
             last_flap: now,
             eligible_at: now,
         };
-        let Some(held) = held else { return fresh };
-        let came_back = update.liveness == Liveness::Alive
-            && matches!(held.liveness, Liveness::Suspect | Liveness::Dead)
-            && held.info.incarnation > 0;
-        let mut state = PeerState { listed: held.listed, ..fresh };
-        let recent = now.since(held.last_flap) < self.settings.flap_memory;
-        state.flaps = if recent { held.flaps } else { 0 };
-        state.last_flap = held.last_flap;
-        state.eligible_at = held.eligible_at;
-        if came_back {
+        let Some(known) = known else { return initial };
+        let has_recovered = update.liveness == Liveness::Alive
+            && matches!(known.liveness, Liveness::Suspect | Liveness::Dead)
+            && known.info.incarnation > 0;
+        let mut state = PeerState { listed: known.listed, ..initial };
+        let recent = now.since(known.last_flap) < self.settings.flap_memory;
+        state.flaps = if recent { known.flaps } else { 0 };
+        state.last_flap = known.last_flap;
+        state.eligible_at = known.eligible_at;
+        if has_recovered {
             let doublings = state.flaps.min(MAX_FLAP_DOUBLINGS);
             state.eligible_at = now + self.settings.flap_hold * 2_u32.pow(doublings);
             state.flaps += 1;
@@ -406,8 +411,8 @@
         state
     }
 
-    /// Answers worse news about this node, or news of a later incarnation of it, with a higher
-    /// incarnation of its own.
+    /// Refutes an update that calls this node suspect or dead, or that has a higher incarnation of it,
+    /// by raising its own incarnation above the update's.
     fn refute(&mut self, update: &PeerUpdate) {
         let own = self.own_update();
         let newer = update.peer.incarnation > own.peer.incarnation;
@@ -415,13 +420,13 @@
         let worse = update.peer.incarnation == own.peer.incarnation && refutable;
         if newer || worse {
             self.own.incarnation = update.peer.incarnation + 1;
-            let news = self.own_update();
-            self.spread(news);
+            let refutation = self.own_update();
+            self.enqueue(refutation);
         }
     }
 
-    fn spread(&mut self, update: PeerUpdate) {
+    fn enqueue(&mut self, update: PeerUpdate) {
         let name = update.peer.name.clone();
-        self.news.push(update, self.peers.len() + 1, |held| held.peer.name == name);
+        self.outgoing.push(update, self.peers.len() + 1, |queued| queued.peer.name == name);
     }
 }
--- a/crates/trestlerack/src/process/mod.rs
+++ b/crates/trestlerack/src/process/mod.rs
@@ -59,16 +59,16 @@
 pub use engine_memory::{EngineMemory, SharedPrompt, TokenNeed};
 pub use entry_settings::{ENTRY_FIELDS, EntrySettings, parse_entry_settings};
 pub use event_pace::{EventPace, PaceSample};
-pub use feed_log::{FeedLog, FeedPlace};
+pub use feed_log::{ChangeFeed, FeedPosition};
 pub use held::{
     ByteLedger, CONNECTION_BYTES, DescriptorBoard, DescriptorBounds, DescriptorKind, DescriptorSeat, HeldBounds,
     HeldBytes, HeldPurpose, IdleClient, LedgerView, REQUEST_BYTES, ReadPace, ReaderView, SMALL_BYTES, STREAM_BYTES,
     SendPace, SenderView, TakeRefusal, is_pressed, longest_idle, reader_to_cut, run_limit, sender_to_refuse,
 };
 pub use job_owner::{OwnerCandidate, choose_job_owner, successor_rank};
-pub use lease::{LeaseGrant, LeaseKeeper, LeaseRow, LeaseSettings, LeaseStep};
-pub use leaving::LeavingBoard;
-pub use levels::{LevelNode, ask_order, choose_followers, follower_count};
+pub use lease::{LeaseAction, LeaseGrant, LeaseKeeper, LeaseRow, LeaseSettings};
+pub use leaving::DrainingServers;
+pub use levels::{FollowerCandidate, choose_followers, follower_count, follower_order};
 pub use limiter::{RetryBudget, UserLimiter};
 pub use membership::{
     Heartbeat, Liveness, MembershipAction, MembershipEvent, MembershipSettings, PeerInfo, PeerMembership, PeerUpdate,
@@ -76,11 +76,11 @@
 pub use news::{CustomerUse, NodeNews, ServerNote, ServiceShares};
 pub use node_rows::{NODE_PARTITIONS, NodeRow, NodeRows, is_node_partition, node_partition};
 pub use outlier::{OutlierDetector, OutlierSettings};
-pub use ownership::{ModelOwner, NodeView, OwnerTable, OwnershipView};
+pub use ownership::{EligibleNode, EngineOwners, ModelOwner, OwnershipView};
 pub use pacing::{failure_pause, rate_pause, watch_pause};
 pub use placement::{BoardSettings, ServerBoard, ServerNeed, ServerRoom};
 pub use registry::{RegistrySettings, ServerEntry, ServerRegistry};
-pub use relay_choice::RelayChoice;
+pub use relay_choice::RelaySelector;
 pub use room::{
     AdmissionQueue, AttemptReason, CallAdmission, CallFate, CallKind, CallNumber, CallRefusal, RefusalReason,
     ReturnTimes, RoomSettings, SecondAttempts, ServiceView, WaitingCall,
@@ -103,7 +103,7 @@
     GroupRow, GroupSpec, SealDecision, SealedGroup, StepRow, StepState, StepSubmission, decide_seal, group_key,
     group_prefix, open_key, step_key,
 };
-pub use step_store::{MadeGroup, ManifestCache, Opened, Recorded, StepLook, StepStore};
+pub use step_store::{GeneratedGroup, ManifestCache, Opened, Recorded, SealOutcome, StepStore};
 pub use suspects::{
     GossipSettings, NEWS_LAG, StrikeNote, SuspectBook, SuspectLine, SuspectRun, SuspectSettings, SuspectStanding,
     TrialBook, server_start,
@@ -111,6 +111,7 @@
 pub use suspension::SuspensionGauge;
 pub use urgency::{CallHistory, ServiceRanks, engine_rank, shows_preemption};
 pub use usage::{
-    CustomerCounts, UsageCounter, UsageDesk, UsageNote, UsageReport, UsageSender, UsageSettings, WindowNotes,
+    CustomerCounts, UsageCollector, UsageCounter, UsageReport, UsageSender, UsageSettings, UsageSnapshot,
+    WindowSnapshots,
 };
 pub use wait_estimate::WaitEstimate;
--- a/crates/trestlerack/src/process/node_rows.rs
+++ b/crates/trestlerack/src/process/node_rows.rs
@@ -1,16 +1,17 @@
-//! The rows by which entry nodes find each other in the platform's store.
+//! The rows in the platform's store through which entry nodes discover each other.
 
 use crate::Name;
 use crate::hash::hash_parts;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Partitions over which the rows of nodes are spread. All nodes may write theirs at one moment, and
-/// a partition of the store takes 150 transactions a second and lets one second of them wait: eight
-/// partitions take the rows of 1,000 nodes without a refusal, and a start reads eight more pages.
+/// Number of partitions over which the rows of nodes are spread. All nodes may write their rows at the
+/// same time, and a partition of the store accepts 150 transactions per second and queues one second of
+/// them. Eight partitions therefore take the rows of 1,000 nodes without a refusal, at the cost of eight
+/// more pages to read at a start.
 pub const NODE_PARTITIONS: u64 = 8;
 
-/// Begins the names of those partitions.
+/// Prefix of the names of those partitions.
 const PARTITION_PREFIX: &str = "nodes-";
 
 /// Returns the partition that holds the row of a node.
@@ -23,15 +24,15 @@
     partition.starts_with(PARTITION_PREFIX)
 }
 
-/// The row by which a node tells its peers where it is; see
+/// The row in which a node publishes its address to its peers; see
 /// [docs/PLATFORM.md](../../../../docs/PLATFORM.md#what-is-kept-where).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeRow {
-    /// Address for peers.
+    /// Address of the node's listener for peers.
     pub address: Name,
-    /// Tells this start of the node's process from earlier ones.
+    /// Identifies this process of the node among earlier and later ones.
     pub incarnation: u64,
-    /// What the node's processor can do, in thousandths of a core.
+    /// Processor capacity of the node, in thousandths of a core.
     #[serde(default)]
     pub capacity: u32,
     /// Availability zone of the node.
@@ -39,19 +40,19 @@
     pub zone: Name,
 }
 
-/// The newest row of each node that was read so far.
+/// The newest known row of each node.
 ///
-/// Tables are watched apart from the replies to a node's own writes, so the rows here may be older
-/// than another row that was just read. Each is therefore kept with its version in the store.
+/// The tables are watched independently of the replies to a node's own writes, so a row here may be older
+/// than another row that was just read. Each row is therefore kept with its version in the store.
 #[derive(Debug, Default)]
 pub struct NodeRows {
     rows: BTreeMap<Name, (u64, NodeRow)>,
 }
 
 impl NodeRows {
-    /// Takes over a row, or its removal if `row` is `None`, unless a newer one is known.
+    /// Stores a row, or its removal if `row` is `None`, unless a newer version is known.
     pub fn put(&mut self, name: &Name, version: u64, row: Option<NodeRow>) {
-        if self.rows.get(name).is_some_and(|(held, _)| *held > version) {
+        if self.rows.get(name).is_some_and(|(known, _)| *known > version) {
             return;
         }
         match row {
@@ -60,17 +61,17 @@
         };
     }
 
-    /// Forgets the rows of nodes that are not among those `registered` at the version `as_of`,
-    /// unless a row is newer than that: its removal was then missed.
+    /// Drops the rows of nodes that are not among those `registered` at the store version `as_of`, whose
+    /// removal was missed. Rows newer than `as_of` are kept.
     pub fn forget_missing(&mut self, registered: &[Name], as_of: u64) {
         self.rows.retain(|name, (version, _)| *version > as_of || registered.contains(name));
     }
 
-    /// Returns whether the node runs as another incarnation than the one that wrote some row at
-    /// `written_at`, a version in the store.
+    /// Returns whether the node has restarted since its `incarnation` wrote some row at the store version
+    /// `written_at`.
     ///
-    /// A node registers before it writes anything else, so only a registration that is newer than
-    /// that row tells of a restart: an older one is of the process before, or of the same one.
+    /// A node registers before it writes anything else, so only a registration that is newer than that
+    /// row shows a restart. An older one belongs to an earlier process or to the same one.
     pub fn is_restarted(&self, name: &str, incarnation: u64, written_at: u64) -> bool {
         let registered = self.rows.get(name);
         registered.is_some_and(|(version, row)| *version > written_at && row.incarnation != incarnation)
--- a/crates/trestlerack/src/process/ownership.rs
+++ b/crates/trestlerack/src/process/ownership.rs
@@ -1,4 +1,5 @@
-//! Which node answers for which engine, group or step, computed alike on every node.
+//! Assigns engines, groups, campaigns and leases to nodes by rendezvous hashing, with the same result on
+//! every node that knows the same nodes.
 
 use super::PeerInfo;
 use crate::hash::{hash_parts, rendezvous_weight};
@@ -6,59 +7,59 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// A node that may own something.
+/// A node that is eligible as an owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct NodeView {
+pub struct EligibleNode {
     /// Name of the VM.
     pub name: Name,
     /// Availability zone.
     pub zone: Name,
 }
 
-impl From<&PeerInfo> for NodeView {
+impl From<&PeerInfo> for EligibleNode {
     fn from(peer: &PeerInfo) -> Self {
         Self { name: peer.name.clone(), zone: peer.zone.clone() }
     }
 }
 
-/// The nodes that may own something now.
+/// The nodes that are eligible as owners, and the owners that follow from them.
 ///
-/// Ownership is a hint: two nodes that both think they own a thing cost balance and never
+/// Ownership is a hint: if two nodes both consider themselves the owner, load balance suffers but never
 /// correctness ([docs/DESIGN.md](../../../../docs/DESIGN.md#ownership)).
 #[derive(Clone, Debug, Default)]
 pub struct OwnershipView {
-    nodes: Arc<[NodeView]>,
+    nodes: Arc<[EligibleNode]>,
 }
 
 impl OwnershipView {
     /// Builds the view from eligible nodes.
-    pub fn new(nodes: Vec<NodeView>) -> Self {
+    pub fn new(nodes: Vec<EligibleNode>) -> Self {
         Self { nodes: nodes.into() }
     }
 
     /// Returns the eligible nodes in name order.
-    pub fn nodes(&self) -> &[NodeView] {
+    pub fn nodes(&self) -> &[EligibleNode] {
         &self.nodes
     }
 
     /// Returns the owner of an engine: a node of the engine's own zone.
-    pub fn engine_owner(&self, engine: &str, zone: &str) -> Option<&NodeView> {
-        self.ranked(hash_parts(&["engine", engine]), |node| node.zone.as_ref() == zone)
+    pub fn engine_owner(&self, engine: &str, zone: &str) -> Option<&EligibleNode> {
+        self.best_candidate(hash_parts(&["engine", engine]), |node| node.zone.as_ref() == zone)
     }
 
-    /// Returns the owner of a group: a node in the campaign's places.
-    pub fn group_owner(&self, campaign: &str, step: u64, group: &str, places: &PlaceSet) -> Option<&NodeView> {
+    /// Returns the owner of a group: a node in the campaign's allowed zones.
+    pub fn group_owner(&self, campaign: &str, step: u64, group: &str, places: &PlaceSet) -> Option<&EligibleNode> {
         let key = hash_parts(&["group", campaign, &step.to_string(), group]);
-        self.ranked(key, |node| places.allows(&node.zone))
+        self.best_candidate(key, |node| places.allows(&node.zone))
     }
 
     /// Returns the owner of a campaign: the node that seals its steps and asks for its groups.
-    pub fn campaign_owner(&self, campaign: &str, places: &PlaceSet) -> Option<&NodeView> {
-        self.ranked(hash_parts(&["campaign", campaign]), |node| places.allows(&node.zone))
+    pub fn campaign_owner(&self, campaign: &str, places: &PlaceSet) -> Option<&EligibleNode> {
+        self.best_candidate(hash_parts(&["campaign", campaign]), |node| places.allows(&node.zone))
     }
 
-    /// Returns the two nodes that watch the lease of a model, so that the others need not read it.
-    pub fn lease_candidates(&self, model: &str) -> Vec<&NodeView> {
+    /// Returns the two nodes that watch the lease of a model, so that the other nodes need not read it.
+    pub fn lease_candidates(&self, model: &str) -> Vec<&EligibleNode> {
         let key = hash_parts(&["lease", model]);
         let mut ranked: Vec<_> = self.nodes.iter().collect();
         ranked.sort_by_key(|node| std::cmp::Reverse(rendezvous_weight(key, &node.name)));
@@ -66,25 +67,25 @@
         ranked
     }
 
-    /// Returns a peer in the campaign's places that can hold a copy of a spooled group.
-    pub fn spool_peer(&self, key: &str, own: &str, places: &PlaceSet) -> Option<&NodeView> {
-        self.ranked(hash_parts(&["spool", key]), |node| node.name.as_ref() != own && places.allows(&node.zone))
+    /// Returns the peer in the campaign's allowed zones that holds a copy of a spooled group.
+    pub fn spool_peer(&self, key: &str, own: &str, places: &PlaceSet) -> Option<&EligibleNode> {
+        self.best_candidate(hash_parts(&["spool", key]), |node| node.name.as_ref() != own && places.allows(&node.zone))
     }
 
-    fn ranked(&self, key: u64, is_candidate: impl Fn(&NodeView) -> bool) -> Option<&NodeView> {
+    fn best_candidate(&self, key: u64, is_candidate: impl Fn(&EligibleNode) -> bool) -> Option<&EligibleNode> {
         let candidates = self.nodes.iter().filter(|node| is_candidate(node));
         candidates.max_by_key(|node| rendezvous_weight(key, &node.name))
     }
 }
 
-/// The engines of one model that one node owns, taken together.
+/// The engines of one model in one zone that one node owns.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ModelOwner {
     /// Name of the node.
     pub node: Name,
     /// Zone of the engines.
     pub zone: Name,
-    /// Slots of the engines.
+    /// Total slots of the engines.
     pub slots: u32,
 }
 
@@ -96,19 +97,19 @@
     owner: Option<Name>,
 }
 
-/// Who owns which engine, kept up to date by changes rather than computed anew.
+/// The owner of each engine, updated incrementally.
 ///
-/// A change of one backend server costs one rendezvous; only a change of the nodes costs one for
-/// each engine of the zones that changed.
+/// A change of one backend server costs one rendezvous hash. Only a change of the nodes costs one for
+/// each engine in the affected zones.
 #[derive(Clone, Debug, Default)]
-pub struct OwnerTable {
+pub struct EngineOwners {
     view: OwnershipView,
     engines: BTreeMap<Name, OwnedEngine>,
     by_model: HashMap<Name, BTreeMap<(Name, Name), u32>>,
 }
 
-impl OwnerTable {
-    /// Replaces the nodes that may own something.
+impl EngineOwners {
+    /// Replaces the eligible nodes.
     pub fn set_nodes(&mut self, view: OwnershipView) {
         let changed = changed_zones(&self.view, &view);
         self.view = view;
@@ -150,7 +151,7 @@
     }
 
     /// Returns the owners of a model's engines that `places` allows, in name order.
-    pub fn owners(&self, model: &str, places: &PlaceSet) -> Vec<ModelOwner> {
+    pub fn model_owners(&self, model: &str, places: &PlaceSet) -> Vec<ModelOwner> {
         let Some(owners) = self.by_model.get(model) else { return Vec::new() };
         let allowed = owners.iter().filter(|((_, zone), _)| places.allows(zone));
         allowed
@@ -166,7 +167,7 @@
 }
 
 fn changed_zones(before: &OwnershipView, after: &OwnershipView) -> BTreeSet<Name> {
-    let lost = before.nodes().iter().filter(|node| !after.nodes().contains(node));
-    let won = after.nodes().iter().filter(|node| !before.nodes().contains(node));
-    lost.chain(won).map(|node| node.zone.clone()).collect()
+    let removed = before.nodes().iter().filter(|node| !after.nodes().contains(node));
+    let added = after.nodes().iter().filter(|node| !before.nodes().contains(node));
+    removed.chain(added).map(|node| node.zone.clone()).collect()
 }
--- a/crates/trestlerack/src/process/registry.rs
+++ b/crates/trestlerack/src/process/registry.rs
@@ -78,7 +78,7 @@
     }
 
     /// Returns whether the list may lack servers that live: the store is away, or was until just now.
-    pub fn is_in_doubt(&self) -> bool {
+    pub fn may_be_incomplete(&self) -> bool {
         self.is_out || !self.lapsed.is_empty()
     }
 
--- a/crates/trestlerack/src/process/relay_choice.rs
+++ b/crates/trestlerack/src/process/relay_choice.rs
@@ -14,7 +14,7 @@
 
 /// What a node knows of its peers as relays.
 #[derive(Debug)]
-pub struct RelayChoice {
+pub struct RelaySelector {
     turn: u64,
     /// Peers that could not relay a call, until the given time.
     failed: BTreeMap<Name, Timestamp>,
@@ -22,7 +22,7 @@
     relay: Option<Name>,
 }
 
-impl RelayChoice {
+impl RelaySelector {
     /// Starts at a turn of this node's own, so that nodes that start together do not all turn to
     /// the same peers.
     pub fn new(own_address: &str) -> Self {
--- a/crates/trestlerack/src/process/step_store.rs
+++ b/crates/trestlerack/src/process/step_store.rs
@@ -24,7 +24,7 @@
 
 /// A made group on its way to the store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct MadeGroup {
+pub struct GeneratedGroup {
     /// Campaign.
     pub campaign: Name,
     /// Step.
@@ -41,7 +41,7 @@
     pub operation: Name,
 }
 
-impl MadeGroup {
+impl GeneratedGroup {
     /// Returns the key of the group's row.
     pub fn key(&self) -> String {
         group_key(&self.campaign, self.step, &self.group)
@@ -75,7 +75,7 @@
 
 /// What a look at an open step led to.
 #[derive(Clone, Debug, PartialEq)]
-pub enum StepLook {
+pub enum SealOutcome {
     /// The step is not open.
     Closed,
     /// The step was sealed by this look.
@@ -186,7 +186,7 @@
     }
 
     /// Records a group once. Repeating it is harmless, also when an earlier answer was lost.
-    pub async fn record(&self, group: &MadeGroup) -> Result<Recorded, StoreError> {
+    pub async fn record(&self, group: &GeneratedGroup) -> Result<Recorded, StoreError> {
         let content = group.lines.clone().into_bytes();
         let object: Name = format!("samples/{}/{:012}/{}", group.campaign, group.step, digest_hex(&content)).into();
         self.objects.put(&object, content).await?;
@@ -224,10 +224,10 @@
         unix_now: u64,
         operation: Name,
         manifests: &ManifestCache,
-    ) -> Result<StepLook, StoreError> {
-        let Some((held, row)) = self.read(campaign, step).await? else { return Ok(StepLook::Closed) };
+    ) -> Result<SealOutcome, StoreError> {
+        let Some((held, row)) = self.read(campaign, step).await? else { return Ok(SealOutcome::Closed) };
         if row.state != StepState::Open {
-            return Ok(StepLook::Closed);
+            return Ok(SealOutcome::Closed);
         }
         let submission = self.submission(&row.manifest, manifests).await?;
         let made = self.read_groups(campaign, step).await?;
@@ -239,10 +239,10 @@
                 manifests.forget(&row.manifest);
                 Ok(look)
             }
-            SealDecision::Missing(missing) => Ok(StepLook::Missing { row, submission, missing }),
+            SealDecision::Missing(missing) => Ok(SealOutcome::Missing { row, submission, missing }),
             SealDecision::TooOld(groups) => {
                 let removed = self.remove(&groups, &made).await?;
-                Ok(StepLook::Removed { row, removed })
+                Ok(SealOutcome::Removed { row, removed })
             }
         }
     }
@@ -297,14 +297,14 @@
 
     /// Seals a step: one transaction that names its samples once and for all. A lost answer needs
     /// no settling here, since the next look finds the step closed or seals it.
-    async fn seal(&self, held: &TableRow, sealed: StepRow) -> Result<StepLook, StoreError> {
+    async fn seal(&self, held: &TableRow, sealed: StepRow) -> Result<SealOutcome, StoreError> {
         let transaction = TableTransaction::default()
             .expect(&held.key, TableTransaction::expectation_of(Some(held)))
             .put(&held.key, to_value(&sealed))
             .remove(open_key(&sealed.campaign, sealed.step));
         match self.table.commit(transaction).await? {
-            CommitOutcome::Committed => Ok(StepLook::Sealed(sealed)),
-            CommitOutcome::Conflict => Ok(StepLook::Closed),
+            CommitOutcome::Committed => Ok(SealOutcome::Sealed(sealed)),
+            CommitOutcome::Conflict => Ok(SealOutcome::Closed),
         }
     }
 
--- a/crates/trestlerack/src/process/usage.rs
+++ b/crates/trestlerack/src/process/usage.rs
@@ -1,14 +1,15 @@
-//! Usage of customers: requests that began to run, by windows of the time of day.
+//! Usage accounting: started requests per customer in fixed windows of wall clock time.
 //!
-//! Each node counts what it serves and tells the holder of the lease, which adds up and reports.
-//! Counts of a node only grow within a window, so a note that comes twice or late does no harm.
-//! [docs/PLATFORM.md](../../../../docs/PLATFORM.md#duties) tells the whole way.
+//! Each node counts the requests that it serves and sends cumulative snapshots to the lease holder, which
+//! sums and reports them. A node's counts only grow within a window, so a duplicate or late snapshot is
+//! harmless. The whole process is described in
+//! [docs/PLATFORM.md](../../../../docs/PLATFORM.md#duties).
 
 use crate::Name;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Requests that began to run, by customer.
+/// Number of started requests by customer.
 pub type CustomerCounts = BTreeMap<Name, u64>;
 
 /// Settings of usage reports.
@@ -16,98 +17,99 @@
 pub struct UsageSettings {
     /// Length of a window, in milliseconds.
     pub window_ms: u64,
-    /// Time after its end at which the report of a window is due, in milliseconds.
+    /// Time from the end of a window until its report is due, in milliseconds.
     pub due_ms: u64,
 }
 
-/// Share of the time until a report is due that is left to nodes to tell what they counted, in
-/// hundredths: a node whose note was lost tells it again, and one that was cut off for a moment.
-const COLLECT_SHARE: u64 = 35;
+/// Percentage of the time until a report is due in which nodes may still deliver their counts. It leaves
+/// time to resend a lost snapshot, also for a node that was briefly disconnected.
+const COLLECT_PERCENT: u64 = 35;
 
-/// Share of that time from which a new holder no longer waits for notes, in hundredths.
-const LAST_SHARE: u64 = 80;
+/// Percentage of that time after which a new lease holder stops waiting for snapshots.
+const LATEST_PERCENT: u64 = 80;
 
-/// Windows that are kept beyond the one that is due last.
-const KEPT_WINDOWS: u64 = 2;
+/// Number of windows that are kept after their reports were due.
+const EXTRA_KEPT_WINDOWS: u64 = 2;
 
 impl UsageSettings {
-    /// Returns the window that a time of day lies in.
+    /// Returns the number of the window that contains a wall clock time.
     pub fn window_at(&self, wall_ms: u64) -> u64 {
         wall_ms / self.window_ms
     }
 
-    /// Returns whether the counts of a window are to be added up now, by a holder that has taken
-    /// notes since `listening_ms`.
-    pub fn is_due(&self, window: u64, wall_ms: u64, listening_ms: u64) -> bool {
-        let collect = self.due_ms * COLLECT_SHARE / 100;
+    /// Returns whether a lease holder that has received snapshots since `receiving_since_ms` is to sum the
+    /// counts of a window now.
+    pub fn is_due(&self, window: u64, wall_ms: u64, receiving_since_ms: u64) -> bool {
+        let collect = self.due_ms * COLLECT_PERCENT / 100;
         let end = (window + 1) * self.window_ms;
-        let is_collected = wall_ms >= end + collect && wall_ms >= listening_ms + collect;
-        is_collected || wall_ms >= end + self.due_ms * LAST_SHARE / 100
+        let is_collected = wall_ms >= end + collect && wall_ms >= receiving_since_ms + collect;
+        is_collected || wall_ms >= end + self.due_ms * LATEST_PERCENT / 100
     }
 
-    /// Returns whether a report of a window is of no use any more.
-    pub fn is_over(&self, window: u64, wall_ms: u64) -> bool {
+    /// Returns whether it is too late to report a window.
+    pub fn is_expired(&self, window: u64, wall_ms: u64) -> bool {
         window < self.first_kept(wall_ms)
     }
 
-    /// Returns the oldest window of which counts are kept.
+    /// Returns the oldest window whose counts are kept.
     pub fn first_kept(&self, wall_ms: u64) -> u64 {
-        let back = self.due_ms.div_ceil(self.window_ms) + KEPT_WINDOWS;
+        let back = self.due_ms.div_ceil(self.window_ms) + EXTRA_KEPT_WINDOWS;
         self.window_at(wall_ms).saturating_sub(back)
     }
 }
 
-/// What a node counted in one window.
+/// Cumulative counts of one node in one window.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UsageNote {
-    /// The window.
+pub struct UsageSnapshot {
+    /// Number of the window.
     pub window: u64,
-    /// Grows with each request counted, so that an older note never replaces a newer one.
+    /// Grows with each counted request, so that an older snapshot never replaces a newer one.
     pub revision: u64,
     /// The counts so far.
     pub counts: CustomerCounts,
 }
 
-/// What this node counts, and what of it the holder of the lease has.
+/// The counts of this node, and the revisions of them that the lease holder has acknowledged.
 #[derive(Clone, Debug, Default)]
 pub struct UsageCounter {
-    notes: BTreeMap<u64, UsageNote>,
+    snapshots: BTreeMap<u64, UsageSnapshot>,
     acknowledged: BTreeMap<u64, u64>,
 }
 
 impl UsageCounter {
-    /// Counts a request that began to run.
+    /// Counts a started request.
     pub fn count(&mut self, window: u64, customer: &Name) {
-        let empty = || UsageNote { window, revision: 0, counts: CustomerCounts::new() };
-        let note = self.notes.entry(window).or_insert_with(empty);
-        note.revision += 1;
-        *note.counts.entry(customer.clone()).or_insert(0) += 1;
+        let empty = || UsageSnapshot { window, revision: 0, counts: CustomerCounts::new() };
+        let snapshot = self.snapshots.entry(window).or_insert_with(empty);
+        snapshot.revision += 1;
+        *snapshot.counts.entry(customer.clone()).or_insert(0) += 1;
     }
 
-    /// Returns what the holder does not have yet.
-    pub fn unacknowledged(&self) -> Vec<UsageNote> {
-        let is_told = |note: &UsageNote| self.acknowledged.get(&note.window) == Some(&note.revision);
-        self.notes.values().filter(|note| !is_told(note)).cloned().collect()
+    /// Returns the snapshots that the lease holder has not acknowledged yet.
+    pub fn unacknowledged(&self) -> Vec<UsageSnapshot> {
+        let is_acknowledged =
+            |snapshot: &UsageSnapshot| self.acknowledged.get(&snapshot.window) == Some(&snapshot.revision);
+        self.snapshots.values().filter(|snapshot| !is_acknowledged(snapshot)).cloned().collect()
     }
 
-    /// Records that the holder has some notes.
-    pub fn acknowledge(&mut self, notes: &[UsageNote]) {
-        self.acknowledged.extend(notes.iter().map(|note| (note.window, note.revision)));
+    /// Records that the lease holder has received `snapshots`.
+    pub fn acknowledge(&mut self, snapshots: &[UsageSnapshot]) {
+        self.acknowledged.extend(snapshots.iter().map(|snapshot| (snapshot.window, snapshot.revision)));
     }
 
-    /// Forgets what the holder has, since there is another holder now.
+    /// Forgets all acknowledgements, because a new lease holder needs every snapshot.
     pub fn forget_acknowledged(&mut self) {
         self.acknowledged.clear();
     }
 
-    /// Forgets windows that nobody asks for any more.
+    /// Drops all windows before `window`.
     pub fn forget_before(&mut self, window: u64) {
-        self.notes.retain(|held, _| *held >= window);
-        self.acknowledged.retain(|held, _| *held >= window);
+        self.snapshots.retain(|kept, _| *kept >= window);
+        self.acknowledged.retain(|kept, _| *kept >= window);
     }
 }
 
-/// Who counted: a node and its incarnation, because a restarted node counts from zero.
+/// The process that counted: a node and its incarnation, because a restarted node counts from zero.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct UsageSender {
     /// Name of the node.
@@ -116,53 +118,57 @@
     pub incarnation: u64,
 }
 
-/// What all nodes told of one window.
-pub type WindowNotes = BTreeMap<UsageSender, UsageNote>;
+/// The newest snapshot of each sender for one window.
+pub type WindowSnapshots = BTreeMap<UsageSender, UsageSnapshot>;
 
-/// What nodes told, at the holder of the lease.
+/// The snapshots that the lease holder received from all nodes, by window.
 #[derive(Clone, Debug, Default)]
-pub struct UsageDesk {
-    windows: BTreeMap<u64, WindowNotes>,
+pub struct UsageCollector {
+    windows: BTreeMap<u64, WindowSnapshots>,
 }
 
-impl UsageDesk {
-    /// Takes a note, unless a newer one of its sender is there. Returns whether it was news.
-    pub fn take(&mut self, sender: &UsageSender, note: UsageNote) -> bool {
-        let notes = self.windows.entry(note.window).or_default();
-        let is_news = notes.get(sender).is_none_or(|held| held.revision < note.revision);
-        if is_news {
-            notes.insert(sender.clone(), note);
+impl UsageCollector {
+    /// Merges a snapshot unless its sender's known one is at least as new. Returns whether it was merged.
+    pub fn merge(&mut self, sender: &UsageSender, snapshot: UsageSnapshot) -> bool {
+        let snapshots = self.windows.entry(snapshot.window).or_default();
+        let is_newer = snapshots.get(sender).is_none_or(|known| known.revision < snapshot.revision);
+        if is_newer {
+            snapshots.insert(sender.clone(), snapshot);
         }
-        is_news
+        is_newer
     }
 
-    /// Returns the notes of a window.
-    pub fn notes(&self, window: u64) -> Option<&WindowNotes> {
+    /// Returns the snapshots of a window.
+    pub fn snapshots(&self, window: u64) -> Option<&WindowSnapshots> {
         self.windows.get(&window)
     }
 
-    /// Adds up a window.
+    /// Sums the counts of a window over all senders.
     pub fn total(&self, window: u64) -> CustomerCounts {
         let mut total = CustomerCounts::new();
-        for (customer, count) in
-            self.windows.get(&window).into_iter().flat_map(WindowNotes::values).flat_map(|n| &n.counts)
+        for (customer, count) in self
+            .windows
+            .get(&window)
+            .into_iter()
+            .flat_map(WindowSnapshots::values)
+            .flat_map(|snapshot| &snapshot.counts)
         {
             *total.entry(customer.clone()).or_insert(0) += count;
         }
         total
     }
 
-    /// Forgets windows that nobody asks for any more.
+    /// Drops all windows before `window`.
     pub fn forget_before(&mut self, window: u64) {
-        self.windows.retain(|held, _| *held >= window);
+        self.windows.retain(|kept, _| *kept >= window);
     }
 }
 
-/// The report of a window as it is sent, now or again: stored before it is first sent.
+/// The report of a window. It is stored before it is first sent, so that a repeated report is the same.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageReport {
-    /// Requests that began to run in the window, by customer.
+    /// Number of requests that started in the window, by customer.
     pub counts: CustomerCounts,
-    /// Whether the platform has taken it.
+    /// Whether the platform has accepted the report.
     pub is_sent: bool,
 }
--- a/crates/trestlerack/src/trace.rs
+++ b/crates/trestlerack/src/trace.rs
@@ -6,7 +6,7 @@
 
 use crate::Timestamp;
 use crate::process::{
-    LeaseKeeper, LeaseRow, LeaseSettings, LeaseStep, MembershipAction, MembershipEvent, MembershipSettings, PeerInfo,
+    LeaseAction, LeaseKeeper, LeaseRow, LeaseSettings, MembershipAction, MembershipEvent, MembershipSettings, PeerInfo,
     PeerMembership,
 };
 use crate::request::{
@@ -82,7 +82,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LeaseAnswer {
     /// What to do about the row.
-    Step(LeaseStep),
+    Step(LeaseAction),
     /// The fencing number for an order, if one may be given.
     Fence(Option<u64>),
 }
--- a/crates/trestlerack/tests/duties.rs
+++ b/crates/trestlerack/tests/duties.rs
@@ -1,14 +1,14 @@
-//! Duties to the platform: whose turn it is, whose time of day is believed, and what is reported.
+//! Duties to the platform: which lease holder may call, which wall clock is used, and what is reported.
 
 use bolero::check;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use trestlerack::process::{
-    DutyGate, DutySettings, SteadyWall, UsageCounter, UsageDesk, UsageNote, UsageSender, UsageSettings,
+    DutyGate, DutySettings, SteadyWall, UsageCollector, UsageCounter, UsageSender, UsageSettings, UsageSnapshot,
 };
 use trestlerack::{Name, Timestamp};
 
-/// A call as the platform sees it.
+/// A call as it arrives at the platform.
 #[derive(Clone, Copy, Debug)]
 struct SeenCall {
     at: u64,
@@ -16,33 +16,34 @@
     fence: u64,
 }
 
-/// Two holders that take turns within this time break the promise, in milliseconds.
-const TURN_MS: u64 = 3_000;
+/// Time within which calls of two holders must not alternate, in milliseconds.
+const ALTERNATION_MS: u64 = 3_000;
 
-/// Checks that fencing numbers never fall and that no holder comes again shortly after another one.
+/// Checks that fencing tokens never decrease and that no holder calls again within `ALTERNATION_MS` of its
+/// earlier call if another holder called in between.
 fn check_calls(calls: &[SeenCall]) -> Result<(), String> {
     for pair in calls.windows(2) {
         if pair[1].fence < pair[0].fence {
-            return Err(format!("a lower fencing number behind a higher one: {pair:?}"));
+            return Err(format!("a call with a lower fencing token after one with a higher token: {pair:?}"));
         }
     }
     for (index, call) in calls.iter().enumerate() {
-        let before = calls[..index].iter().rev().take_while(|other| call.at - other.at <= TURN_MS);
-        let mut other_came = false;
-        for earlier in before {
+        let recent = calls[..index].iter().rev().take_while(|other| call.at - other.at <= ALTERNATION_MS);
+        let mut other_called = false;
+        for earlier in recent {
             if earlier.node != call.node {
-                other_came = true;
-            } else if other_came {
-                return Err(format!("holders take turns: {earlier:?} and {call:?}"));
+                other_called = true;
+            } else if other_called {
+                return Err(format!("calls of two holders alternate: {earlier:?} and {call:?}"));
             }
         }
     }
     Ok(())
 }
 
-/// Plays holders that follow each other at random and restart now and then; their calls arrive up to
-/// `DELAY_MS` late. Returns what the platform sees.
-fn play(choices: &[(u8, u8, bool)], asks_gate: bool) -> Vec<SeenCall> {
+/// Simulates holders that follow each other at random and sometimes restart. The last calls of each holder
+/// arrive late by `DELAY_MS`. Returns the calls in the order in which they arrive at the platform.
+fn simulate(choices: &[(u8, u8, bool)], uses_gate: bool) -> Vec<SeenCall> {
     const NODES: usize = 3;
     const DELAY_MS: u64 = 900;
     let settings = DutySettings::default();
@@ -55,8 +56,8 @@
         }
         let until = now + u64::from(*held_for) * 30;
         while now < until {
-            if !asks_gate || gates[node].may_call(Timestamp(now), fence) {
-                gates[node].called(Timestamp(now), fence);
+            if !uses_gate || gates[node].may_call(Timestamp(now), fence) {
+                gates[node].record_call(Timestamp(now), fence);
                 let delay = if now + 100 >= until { DELAY_MS } else { 0 };
                 calls.push(SeenCall { at: now + delay, node, fence });
             }
@@ -68,35 +69,35 @@
 }
 
 #[test]
-fn holders_never_take_turns_and_no_late_call_comes_behind_a_later_holder() {
+fn calls_of_two_holders_never_alternate_and_none_arrives_after_one_of_a_later_holder() {
     check!().with_type::<Vec<(u8, u8, bool)>>().with_iterations(2_000).for_each(|choices| {
-        check_calls(&play(choices, true)).unwrap();
+        check_calls(&simulate(choices, true)).unwrap();
     });
 }
 
-/// The checker must notice a holder that calls as soon as it has the lease.
+/// The checker itself must fail for holders that call as soon as they have the lease.
 #[test]
-fn the_checker_notices_holders_that_do_not_wait() {
-    let hasty = play(&[(0, 30, false), (1, 20, false), (0, 30, false)], false);
-    assert!(check_calls(&hasty).is_err());
-    let turns: Vec<SeenCall> =
+fn the_checker_detects_holders_that_do_not_wait() {
+    let immediate = simulate(&[(0, 30, false), (1, 20, false), (0, 30, false)], false);
+    assert!(check_calls(&immediate).is_err());
+    let alternating: Vec<SeenCall> =
         [(0, 0, 1), (500, 1, 2), (1_000, 0, 3)].map(|(at, node, fence)| SeenCall { at, node, fence }).into();
-    assert!(check_calls(&turns).unwrap_err().contains("take turns"));
+    assert!(check_calls(&alternating).unwrap_err().contains("alternate"));
 }
 
 #[test]
-fn the_first_holder_calls_at_once_and_the_next_soon() {
+fn the_first_holder_calls_at_once_and_the_next_after_the_call_time() {
     let settings = DutySettings::default();
     let mut first = DutyGate::new(settings.clone(), Timestamp(0));
     assert!(first.may_call(Timestamp(10), 1));
     let mut next = DutyGate::new(settings, Timestamp(0));
     let calls_from = (0..10_000).find(|now| next.may_call(Timestamp(20_000 + now), 2));
-    assert_eq!(calls_from, Some(1_000), "as long as a call may be under way");
+    assert_eq!(calls_from, Some(1_000), "the maximum time that a call may be in flight");
 }
 
-/// The time of day jumps by two seconds for five, as a clock does that is set twice.
+/// The wall clock is set two seconds ahead and back again five seconds later.
 #[test]
-fn a_jump_of_the_time_of_day_is_not_followed_until_it_stays() {
+fn a_jump_of_the_wall_clock_is_ignored_until_it_persists() {
     let mut wall = SteadyWall::default();
     let true_ms = |steady: u64| 1_700_000_000_000 + steady;
     assert_eq!(wall.read(0, true_ms(0)), true_ms(0));
@@ -104,7 +105,7 @@
         assert_eq!(wall.read(steady, true_ms(steady) + 2_000), true_ms(steady));
     }
     assert_eq!(wall.read(5_000, true_ms(5_000)), true_ms(5_000));
-    // A clock that drifts is followed, since each look sees little of it.
+    // A clock that drifts is followed, because each reading differs little from the one before.
     for steady in (5_000..65_000).step_by(100) {
         let drifted = true_ms(steady) + (steady - 5_000) / 100;
         assert_eq!(wall.read(steady, drifted), drifted);
@@ -118,26 +119,26 @@
 const USAGE: UsageSettings = UsageSettings { window_ms: 5_000, due_ms: 10_000 };
 
 #[test]
-fn a_window_is_added_up_when_nodes_had_time_to_tell_and_before_it_is_due() {
+fn a_window_is_summed_after_nodes_had_time_to_send_and_before_its_report_is_due() {
     let window = 1_000;
     let end = (window + 1) * 5_000;
-    let due_at = |listening| (end..end + 20_000).step_by(100).find(|wall| USAGE.is_due(window, *wall, listening));
+    let due_at = |since| (end..end + 20_000).step_by(100).find(|wall| USAGE.is_due(window, *wall, since));
     assert_eq!(due_at(0), Some(end + 3_500));
-    assert_eq!(due_at(end + 2_000), Some(end + 5_500), "a new holder listens as long");
-    assert_eq!(due_at(end + 7_000), Some(end + 8_000), "but not beyond the time at which the report is due");
-    assert!(!USAGE.is_over(window, end + 14_000) && USAGE.is_over(window, end + 25_000));
+    assert_eq!(due_at(end + 2_000), Some(end + 5_500), "a new holder waits for snapshots as long as the first one");
+    assert_eq!(due_at(end + 7_000), Some(end + 8_000), "but not until the report is overdue");
+    assert!(!USAGE.is_expired(window, end + 14_000) && USAGE.is_expired(window, end + 25_000));
 }
 
-/// Notes come late, twice and out of order, holders change and nodes restart: what is added up is
-/// what was counted.
+/// Snapshots arrive late, twice and out of order, holders change and nodes restart: each request still
+/// counts once.
 #[test]
-fn what_nodes_counted_is_added_up_once() {
+fn each_counted_request_is_summed_once() {
     check!().with_type::<Vec<(u8, u8, u8)>>().with_iterations(1_000).for_each(|steps| {
         let mut counters: Vec<UsageCounter> = vec![UsageCounter::default(); 4];
         let mut incarnations = [0_u64; 4];
-        let mut truth: BTreeMap<u64, BTreeMap<Name, u64>> = BTreeMap::new();
-        let mut desk = UsageDesk::default();
-        let mut under_way: Vec<(UsageSender, Vec<UsageNote>)> = Vec::new();
+        let mut expected: BTreeMap<u64, BTreeMap<Name, u64>> = BTreeMap::new();
+        let mut collector = UsageCollector::default();
+        let mut in_flight: Vec<(UsageSender, Vec<UsageSnapshot>)> = Vec::new();
         let sender = |node: usize, incarnation| UsageSender { node: format!("n{node}").into(), incarnation };
         for (action, node, value) in steps {
             let node = usize::from(*node) % 4;
@@ -145,20 +146,22 @@
                 0..=2 => {
                     let (window, customer) = (u64::from(*value) % 3, Name::from(format!("c{}", value % 5)));
                     counters[node].count(window, &customer);
-                    *truth.entry(window).or_default().entry(customer).or_insert(0) += 1;
+                    *expected.entry(window).or_default().entry(customer).or_insert(0) += 1;
                 }
-                3 => under_way.push((sender(node, incarnations[node]), counters[node].unacknowledged())),
+                3 => in_flight.push((sender(node, incarnations[node]), counters[node].unacknowledged())),
                 4 => {
-                    if let Some((from, notes)) = under_way.get(usize::from(*value) % under_way.len().max(1)).cloned() {
-                        notes.iter().cloned().for_each(|note| {
-                            desk.take(&from, note);
+                    if let Some((from, snapshots)) =
+                        in_flight.get(usize::from(*value) % in_flight.len().max(1)).cloned()
+                    {
+                        snapshots.iter().cloned().for_each(|snapshot| {
+                            collector.merge(&from, snapshot);
                         });
                     }
                 }
-                // A node that stops as planned tells all before it counts from zero again.
+                // A node that stops as planned sends all snapshots before it restarts and counts from zero.
                 _ => {
-                    for note in counters[node].unacknowledged() {
-                        desk.take(&sender(node, incarnations[node]), note);
+                    for snapshot in counters[node].unacknowledged() {
+                        collector.merge(&sender(node, incarnations[node]), snapshot);
                     }
                     counters[node] = UsageCounter::default();
                     incarnations[node] += 1;
@@ -166,29 +169,33 @@
             }
         }
         for (node, counter) in counters.iter_mut().enumerate() {
-            let notes = counter.unacknowledged();
-            notes.iter().cloned().for_each(|note| {
-                desk.take(&sender(node, incarnations[node]), note);
+            let snapshots = counter.unacknowledged();
+            snapshots.iter().cloned().for_each(|snapshot| {
+                collector.merge(&sender(node, incarnations[node]), snapshot);
             });
-            counter.acknowledge(&notes);
+            counter.acknowledge(&snapshots);
             assert!(counter.unacknowledged().is_empty());
             counter.forget_acknowledged();
-            assert_eq!(counter.unacknowledged(), notes, "another holder is told all of it");
+            assert_eq!(counter.unacknowledged(), snapshots, "another holder receives all snapshots");
         }
         for window in 0..3 {
-            assert_eq!(desk.total(window), truth.remove(&window).unwrap_or_default());
+            assert_eq!(collector.total(window), expected.remove(&window).unwrap_or_default());
         }
     });
 }
 
 #[test]
-fn a_late_note_does_not_replace_a_newer_one() {
+fn a_late_snapshot_does_not_replace_a_newer_one() {
     let sender = UsageSender { node: "n".into(), incarnation: 1 };
-    let note = |revision, count| UsageNote { window: 7, revision, counts: [("c".into(), count)].into() };
-    let mut desk = UsageDesk::default();
-    assert!(desk.take(&sender, note(2, 2)) && !desk.take(&sender, note(1, 1)) && !desk.take(&sender, note(2, 2)));
-    assert_eq!(desk.total(7)["c"], 2);
-    desk.forget_before(8);
-    assert!(desk.notes(7).is_none());
+    let snapshot = |revision, count| UsageSnapshot { window: 7, revision, counts: [("c".into(), count)].into() };
+    let mut collector = UsageCollector::default();
+    assert!(
+        collector.merge(&sender, snapshot(2, 2))
+            && !collector.merge(&sender, snapshot(1, 1))
+            && !collector.merge(&sender, snapshot(2, 2))
+    );
+    assert_eq!(collector.total(7)["c"], 2);
+    collector.forget_before(8);
+    assert!(collector.snapshots(7).is_none());
     assert_eq!(Duration::from_millis(USAGE.window_ms), Duration::from_secs(5));
 }
--- a/crates/trestlerack/tests/exactly_once.rs
+++ b/crates/trestlerack/tests/exactly_once.rs
@@ -7,7 +7,7 @@
 use support::{FakeStore, FaultPlan, SOUND, Scheduler, UNSOUND, block_on, count_failures, for_seeds};
 use trestlerack::Name;
 use trestlerack::process::{
-    GroupSpec, MadeGroup, ManifestCache, Opened, StepLook, StepState, StepStore, StepSubmission,
+    GeneratedGroup, GroupSpec, ManifestCache, Opened, SealOutcome, StepState, StepStore, StepSubmission,
 };
 use trestlerack::version::StalenessRule;
 
@@ -23,8 +23,8 @@
     StepSubmission { consume_version, groups: groups.collect() }
 }
 
-fn made(node: usize, number: usize, group: &Name, oldest_version: u64) -> MadeGroup {
-    MadeGroup {
+fn made(node: usize, number: usize, group: &Name, oldest_version: u64) -> GeneratedGroup {
+    GeneratedGroup {
         campaign: CAMPAIGN.into(),
         step: 0,
         group: group.clone(),
@@ -45,7 +45,7 @@
     for number in 0..LOOKS {
         let operation: Name = format!("look-{node}-{number}").into();
         let look = steps.look(CAMPAIGN, 0, RULE, 0, operation, &manifests).await;
-        let Ok(StepLook::Missing { missing, .. }) = look else { continue };
+        let Ok(SealOutcome::Missing { missing, .. }) = look else { continue };
         for group in missing {
             // Now and then an engine holds a version that is too old for the step.
             let oldest = if (node + number).is_multiple_of(5) { 0 } else { consume_version };
@@ -152,7 +152,7 @@
         block_on(steps.record(&made(0, 0, &group.into(), 5))).unwrap();
     }
     let late = block_on(steps.look(CAMPAIGN, 0, rule, 61, "b".into(), &manifests)).unwrap();
-    assert!(matches!(late, StepLook::Removed { removed, .. } if removed.len() == GROUPS));
+    assert!(matches!(late, SealOutcome::Removed { removed, .. } if removed.len() == GROUPS));
     let look = block_on(steps.look(CAMPAIGN, 0, rule, 61, "c".into(), &manifests)).unwrap();
-    assert!(matches!(look, StepLook::Missing { missing, .. } if missing.len() == GROUPS));
+    assert!(matches!(look, SealOutcome::Missing { missing, .. } if missing.len() == GROUPS));
 }
--- a/crates/trestlerack/tests/peers.rs
+++ b/crates/trestlerack/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Peers find out about each other faster than the platform's list, and the list may be wrong.
+//! Gossip membership under lost messages, crashed peers and a platform list that is wrong.
 
 mod support;
 
@@ -9,8 +9,8 @@
 use trestlerack::border::ListedNode;
 use trestlerack::connection::{BackendNews, NewsSource};
 use trestlerack::process::{
-    LeavingBoard, MembershipAction, MembershipEvent, MembershipSettings, NodeView, OwnerTable, OwnershipView, PeerInfo,
-    PeerMembership,
+    DrainingServers, EligibleNode, EngineOwners, MembershipAction, MembershipEvent, MembershipSettings, OwnershipView,
+    PeerInfo, PeerMembership,
 };
 use trestlerack::{Name, PlaceSet, Timestamp};
 
@@ -18,11 +18,11 @@
 
 struct Peer {
     membership: PeerMembership,
-    board: LeavingBoard,
+    draining: DrainingServers,
     alive: bool,
 }
 
-/// A handful of memberships that exchange heartbeats directly.
+/// Simulated peers that exchange heartbeats without a network, at a given rate of lost probes.
 struct Peers {
     random: Pcg64Mcg,
     peers: Vec<Peer>,
@@ -45,7 +45,7 @@
             let own = PeerInfo { name: name(number), zone: "obihiro".into(), link: "x".into(), incarnation: 1 };
             let mut membership = PeerMembership::new(MembershipSettings::default(), own, number as u64);
             membership.handle(Timestamp(1), MembershipEvent::Listed(listed(count)));
-            Peer { membership, board: LeavingBoard::default(), alive: true }
+            Peer { membership, draining: DrainingServers::default(), alive: true }
         };
         let peers = (0..count).map(peer).collect();
         Self { random: Pcg64Mcg::seed_from_u64(seed), peers, loss_percent: 0, now: 1 }
@@ -83,10 +83,10 @@
     fn deliver(&mut self, from: usize, to: usize) {
         let now = Timestamp(self.now);
         let heartbeat = self.peers[from].membership.heartbeat();
-        let news = self.peers[from].board.take_news();
+        let updates = self.peers[from].draining.take_updates();
         self.peers[to].membership.handle(now, MembershipEvent::Received(heartbeat));
-        for item in news {
-            self.peers[to].board.hear(item, 32);
+        for update in updates {
+            self.peers[to].draining.merge(update, 32);
         }
     }
 
@@ -101,11 +101,11 @@
 }
 
 #[test]
-fn a_dead_peer_is_dropped_and_the_others_stay_under_message_loss() {
+fn a_dead_peer_is_dropped_and_the_others_stay_eligible_under_message_loss() {
     for_seeds(30, |seed| {
         let mut peers = Peers::new(seed, 12);
         peers.run(20);
-        assert_eq!(peers.eligible(0), names(0..12), "everyone knows everyone");
+        assert_eq!(peers.eligible(0), names(0..12), "each peer knows all others");
         peers.peers[3].alive = false;
         peers.loss_percent = 5;
         peers.run(40);
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_death_is_known_everywhere_within_ten_seconds_among_24_peers() {
+fn a_dead_peer_is_dropped_by_all_24_peers_within_ten_seconds() {
     for_seeds(20, |seed| {
         let mut peers = Peers::new(seed, 24);
         peers.run(20);
@@ -131,22 +131,22 @@
 }
 
 #[test]
-fn a_list_that_lacks_a_live_peer_or_names_a_dead_one_changes_nothing() {
+fn a_list_that_lacks_a_live_peer_or_names_a_dead_one_does_not_change_the_eligible_nodes() {
     let mut peers = Peers::new(1, 6);
     peers.run(20);
     peers.peers[5].alive = false;
     peers.run(40);
-    let wrong: Vec<ListedNode> = listed(6).into_iter().filter(|node| node.name != name(1)).collect();
+    let wrong_list: Vec<ListedNode> = listed(6).into_iter().filter(|node| node.name != name(1)).collect();
     for of in 0..5 {
         let now = Timestamp(peers.now);
-        peers.peers[of].membership.handle(now, MembershipEvent::Listed(wrong.clone()));
+        peers.peers[of].membership.handle(now, MembershipEvent::Listed(wrong_list.clone()));
     }
     peers.run(10);
     assert_eq!(peers.eligible(0), names(0..5));
 }
 
 #[test]
-fn a_list_that_says_leaving_takes_ownership_away_and_gives_it_back() {
+fn a_peer_that_is_listed_as_leaving_is_ineligible_until_the_list_takes_it_back() {
     let mut peers = Peers::new(1, 4);
     peers.run(20);
     let mut leaving = listed(4);
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn a_peer_that_flaps_owns_nothing_for_longer_each_time() {
+fn a_flapping_peer_is_ineligible_for_longer_each_time() {
     let mut peers = Peers::new(1, 3);
     peers.run(20);
     let mut absences = Vec::new();
@@ -172,68 +172,68 @@
         peers.peers[2].alive = false;
         peers.run(30);
         peers.peers[2].alive = true;
-        let back = peers.now;
+        let restarted_at = peers.now;
         while !peers.eligible(0).contains(&name(2)) {
             peers.run(1);
-            assert!(peers.now < back + 60_000, "it comes back");
+            assert!(peers.now < restarted_at + 60_000, "it becomes eligible again");
         }
-        absences.push(peers.now - back);
+        absences.push(peers.now - restarted_at);
     }
     assert!(absences[2] > absences[0], "{absences:?}");
 }
 
 #[test]
-fn a_planned_leave_is_known_to_all_without_the_list() {
+fn a_planned_leave_reaches_all_peers_without_the_list() {
     let mut peers = Peers::new(1, 24);
     peers.run(20);
     peers.peers[7].membership.handle(Timestamp(peers.now), MembershipEvent::Leave);
     peers.run(6);
-    let unaware = (0..24).filter(|of| peers.eligible(*of).contains(&name(7))).count();
-    assert_eq!(unaware, 0, "after 3 s");
+    let uninformed = (0..24).filter(|of| peers.eligible(*of).contains(&name(7))).count();
+    assert_eq!(uninformed, 0, "after 3 s");
 }
 
 #[test]
-fn news_of_a_leaving_backend_server_reaches_all_peers_with_the_stores_down() {
+fn an_update_of_a_draining_backend_server_reaches_all_peers_with_the_stores_down() {
     for_seeds(20, |seed| {
         let mut peers = Peers::new(seed, 24);
         peers.run(20);
-        let news = BackendNews { backend: "engine".into(), source: NewsSource::Order, leaving: true, stamp: 1 };
-        peers.peers[0].board.hear(news, 24);
+        let update = BackendNews { backend: "engine".into(), source: NewsSource::Order, leaving: true, stamp: 1 };
+        peers.peers[0].draining.merge(update, 24);
         peers.run(8);
-        let unaware = peers.peers.iter().filter(|peer| !peer.board.is_leaving("engine")).count();
-        assert_eq!(unaware, 0, "after 4 s");
+        let uninformed = peers.peers.iter().filter(|peer| !peer.draining.is_draining("engine")).count();
+        assert_eq!(uninformed, 0, "after 4 s");
     });
 }
 
 #[test]
-fn an_answer_never_takes_back_an_operators_order() {
-    let mut board = LeavingBoard::default();
-    board.hear(BackendNews { backend: "e".into(), source: NewsSource::Order, leaving: true, stamp: 1 }, 3);
-    board.answered(&"e".into(), false, 2, 3);
-    assert!(board.is_leaving("e"));
-    board.hear(BackendNews { backend: "e".into(), source: NewsSource::Order, leaving: false, stamp: 3 }, 3);
-    assert!(!board.is_leaving("e"));
+fn an_answer_does_not_override_an_operators_drain_order() {
+    let mut draining = DrainingServers::default();
+    draining.merge(BackendNews { backend: "e".into(), source: NewsSource::Order, leaving: true, stamp: 1 }, 3);
+    draining.record_answer(&"e".into(), false, 2, 3);
+    assert!(draining.is_draining("e"));
+    draining.merge(BackendNews { backend: "e".into(), source: NewsSource::Order, leaving: false, stamp: 3 }, 3);
+    assert!(!draining.is_draining("e"));
 }
 
 #[test]
-fn the_owner_table_agrees_with_the_view_after_any_changes() {
+fn engine_owners_agree_with_the_ownership_view_after_any_changes() {
     for_seeds(200, |seed| {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let zones = ["a", "b"];
-        let mut table = OwnerTable::default();
+        let mut owners = EngineOwners::default();
         let mut view = OwnershipView::default();
         let mut engines: std::collections::BTreeMap<Name, Name> = std::collections::BTreeMap::new();
         for _ in 0..40 {
             if random.random_ratio(1, 2) {
                 let engine: Name = format!("e{}", random.random_range(0..8)).into();
                 let zone: Name = zones[random.random_range(0..2)].into();
-                table.set_engine(&engine, &"m".into(), &zone, 2);
+                owners.set_engine(&engine, &"m".into(), &zone, 2);
                 engines.insert(engine, zone);
             } else {
                 let nodes = (0..5).filter(|_| random.random_ratio(1, 2));
-                let nodes = nodes.map(|node| NodeView { name: name(node), zone: zones[node % 2].into() });
+                let nodes = nodes.map(|node| EligibleNode { name: name(node), zone: zones[node % 2].into() });
                 view = OwnershipView::new(nodes.collect());
-                table.set_nodes(view.clone());
+                owners.set_nodes(view.clone());
             }
             let places = PlaceSet::new(zones.map(Name::from));
             let mut expected: std::collections::BTreeMap<(Name, Name), u32> = std::collections::BTreeMap::new();
@@ -242,21 +242,22 @@
                     *expected.entry((owner.name.clone(), zone.clone())).or_default() += 2;
                 }
             }
-            let found = table.owners("m", &places).into_iter().map(|owner| ((owner.node, owner.zone), owner.slots));
+            let found =
+                owners.model_owners("m", &places).into_iter().map(|owner| ((owner.node, owner.zone), owner.slots));
             assert_eq!(found.collect::<std::collections::BTreeMap<_, _>>(), expected);
         }
     });
 }
 
 #[test]
-fn what_one_node_reads_in_the_list_all_know_and_a_wrong_entry_is_taken_back() {
+fn a_list_that_one_node_reads_reaches_all_peers_and_a_wrong_entry_is_revoked() {
     let mut peers = Peers::new(1, 24);
     peers.run(20);
-    assert_eq!(peers.peers[3].board.listed(&["e".into()], 10, 24), [Name::from("e")]);
-    assert!(peers.peers[3].board.listed(&["e".into()], 11, 24).is_empty(), "it is news once");
+    assert_eq!(peers.peers[3].draining.merge_list(&["e".into()], 10, 24), [Name::from("e")]);
+    assert!(peers.peers[3].draining.merge_list(&["e".into()], 11, 24).is_empty(), "a repeated list is no change");
     peers.run(8);
-    assert!(peers.peers.iter().all(|peer| peer.board.is_leaving("e")), "after 4 s");
-    peers.peers[9].board.listed(&[], 20, 24);
+    assert!(peers.peers.iter().all(|peer| peer.draining.is_draining("e")), "after 4 s");
+    peers.peers[9].draining.merge_list(&[], 20, 24);
     peers.run(8);
-    assert!(peers.peers.iter().all(|peer| !peer.board.is_leaving("e")), "after 4 s");
+    assert!(peers.peers.iter().all(|peer| !peer.draining.is_draining("e")), "after 4 s");
 }
--- a/crates/trestlerack/tests/relay_choices.rs
+++ b/crates/trestlerack/tests/relay_choices.rs
@@ -1,7 +1,7 @@
 //! Which peers relay a store call.
 
 use std::time::Duration;
-use trestlerack::process::RelayChoice;
+use trestlerack::process::RelaySelector;
 use trestlerack::{Name, Timestamp};
 
 const NOW: Timestamp = Timestamp(1_000_000);
@@ -16,7 +16,7 @@
     let peers = addresses(294);
     let is_served = |peer: &Name| !peers.iter().position(|other| other == peer).unwrap().is_multiple_of(3);
     for own in 0..50 {
-        let mut choice = RelayChoice::new(&format!("own-{own}"));
+        let mut choice = RelaySelector::new(&format!("own-{own}"));
         let (mut lost, mut tries) = (0, 0);
         for call in 0..200 {
             let now = NOW + Duration::from_millis(call * 100);
@@ -41,7 +41,7 @@
 #[test]
 fn nodes_that_start_together_turn_to_different_peers() {
     let peers = addresses(294);
-    let first = |own: usize| RelayChoice::new(&format!("own-{own}")).pick(NOW, peers.clone())[0].clone();
+    let first = |own: usize| RelaySelector::new(&format!("own-{own}")).pick(NOW, peers.clone())[0].clone();
     let firsts: std::collections::BTreeSet<Name> = (0..100).map(first).collect();
     assert!(firsts.len() >= 70, "{}", firsts.len());
 }
@@ -49,7 +49,7 @@
 #[test]
 fn a_relay_that_fails_is_passed_over_unless_all_have_failed() {
     let peers = addresses(2);
-    let mut choice = RelayChoice::new("own");
+    let mut choice = RelaySelector::new("own");
     choice.relayed(&peers[0]);
     assert_eq!(choice.pick(NOW, peers.clone()), peers);
     choice.failed(NOW, &peers[0]);
--- a/crates/trestlerack/tests/suspensions.rs
+++ b/crates/trestlerack/tests/suspensions.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use trestlerack::Timestamp;
 use trestlerack::process::{
-    EventPace, LeaseKeeper, LeaseRow, LeaseSettings, LeaseStep, PaceSample, SteadyWall, SuspensionGauge,
+    EventPace, LeaseAction, LeaseKeeper, LeaseRow, LeaseSettings, PaceSample, SteadyWall, SuspensionGauge,
 };
 
 const fn ms(ms: u64) -> Duration {
@@ -47,7 +47,7 @@
 fn a_lease_runs_out_during_a_suspension() {
     let settings = LeaseSettings { ttl: ms(1_500), margin: ms(300), order_time: Duration::ZERO };
     let mut keeper = LeaseKeeper::new(settings, "a".into(), 1);
-    let LeaseStep::Write(row) = keeper.decide(Timestamp(10_000), None) else { panic!("the lease is free") };
+    let LeaseAction::Write(row) = keeper.decide(Timestamp(10_000), None) else { panic!("the lease is free") };
     keeper.written(Timestamp(10_000), LeaseRow { ..row });
     assert_eq!(keeper.fence(Timestamp(10_100)), Some(1));
     // Five seconds pass of which a monotonic clock would show none.
--- a/crates/trestlerackd/src/entry/duties/calls.rs
+++ b/crates/trestlerackd/src/entry/duties/calls.rs
@@ -59,7 +59,7 @@
         if let Ok(host) = node.settings.duty_service.parse() {
             request.headers_mut().insert(header::HOST, host);
         }
-        self.gate.lock().unwrap().called(now, fence);
+        self.gate.lock().unwrap().record_call(now, fence);
         *self.not_before.lock().unwrap() = now + self.pause;
         let answer = clock::timeout(CALL_TIMEOUT, exchange(node, request)).await;
         Some((fence, answer.unwrap_or(DutyAnswer::Unknown)))
--- a/crates/trestlerackd/src/entry/duties/engines.rs
+++ b/crates/trestlerackd/src/entry/duties/engines.rs
@@ -86,7 +86,7 @@
 /// Counts the engines of a service by zone, unless the list is in doubt.
 fn listed_engines(node: &EntryNode, service: &Name) -> Option<BTreeMap<Name, ZoneEngines>> {
     let registry = node.registry.lock().unwrap();
-    if registry.is_in_doubt() {
+    if registry.may_be_incomplete() {
         return None;
     }
     let mut zones: BTreeMap<Name, ZoneEngines> = BTreeMap::new();
--- a/crates/trestlerackd/src/entry/duties/usage_count.rs
+++ b/crates/trestlerackd/src/entry/duties/usage_count.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 use trestlerack::Name;
-use trestlerack::process::{SteadyWall, UsageCounter, UsageDesk, UsageNote, UsageSender, UsageSettings};
+use trestlerack::process::{SteadyWall, UsageCollector, UsageCounter, UsageSender, UsageSettings, UsageSnapshot};
 use trestlerack::time::millis;
 
 /// Least time between two notes to the holder. The first request after a pause is told at once, so
@@ -27,7 +27,7 @@
     settings: Option<UsageSettings>,
     counter: Mutex<UsageCounter>,
     /// Notes of all nodes; complete at the holder only.
-    pub desk: Mutex<UsageDesk>,
+    pub desk: Mutex<UsageCollector>,
     news: Notify,
 }
 
@@ -60,10 +60,10 @@
     }
 
     /// Takes notes that a node tells.
-    pub fn take(&self, sender: &UsageSender, notes: Vec<UsageNote>) {
+    pub fn take(&self, sender: &UsageSender, notes: Vec<UsageSnapshot>) {
         let mut desk = self.desk.lock().unwrap();
         for note in notes {
-            desk.take(sender, note);
+            desk.merge(sender, note);
         }
     }
 }
@@ -97,7 +97,7 @@
 }
 
 /// Returns whether the holder has the notes.
-async fn tell(node: &Arc<EntryNode>, holder: &Name, sender: &UsageSender, notes: &[UsageNote]) -> bool {
+async fn tell(node: &Arc<EntryNode>, holder: &Name, sender: &UsageSender, notes: &[UsageSnapshot]) -> bool {
     if *holder == node.settings.name {
         node.usage.take(sender, notes.to_vec());
         return true;
--- a/crates/trestlerackd/src/entry/duties/usage_report.rs
+++ b/crates/trestlerackd/src/entry/duties/usage_report.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use trestlerack::border::StoreError;
-use trestlerack::process::{UsageNote, UsageReport, UsageSettings, WindowNotes};
+use trestlerack::process::{UsageReport, UsageSettings, UsageSnapshot, WindowSnapshots};
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall, StoreReply};
 use trestlerack::{Name, Timestamp, event};
 use trestlerack_platform::{self as platform, DutyAnswer};
@@ -53,7 +53,7 @@
     /// Rows of windows that are over.
     old_keys: Vec<Name>,
     saved_at: Timestamp,
-    saved: BTreeMap<u64, WindowNotes>,
+    saved: BTreeMap<u64, WindowSnapshots>,
     /// Keys under which notes were stored, by window.
     note_keys: BTreeMap<u64, Vec<Name>>,
     retry_at: Timestamp,
@@ -137,10 +137,10 @@
                 desk.unsent.insert(window, report);
             }
         } else if let Some(window) = window_of(&key, NOTES_PREFIX).filter(|window| *window >= first_kept) {
-            let notes: WindowNotes = tables::decode(&content)?;
+            let notes: WindowSnapshots = tables::decode(&content)?;
             let mut own = node.usage.desk.lock().unwrap();
             notes.into_iter().for_each(|(sender, note)| {
-                own.take(&sender, UsageNote { window, ..note });
+                own.merge(&sender, UsageSnapshot { window, ..note });
             });
         }
     }
@@ -158,7 +158,7 @@
 /// window is done with.
 async fn store_report(node: &Arc<EntryNode>, settings: UsageSettings, desk: &mut ReportDesk, wall_ms: u64) -> bool {
     let window = desk.next;
-    if settings.is_over(window, wall_ms) {
+    if settings.is_expired(window, wall_ms) {
         skip_over(node, desk, settings.first_kept(wall_ms));
         return true;
     }
@@ -259,9 +259,10 @@
         return;
     }
     desk.saved_at = node.now();
-    let open: Vec<(u64, WindowNotes)> = {
+    let open: Vec<(u64, WindowSnapshots)> = {
         let held = node.usage.desk.lock().unwrap();
-        let notes = (desk.next..).take(OPEN_WINDOWS).filter_map(|window| Some((window, held.notes(window)?.clone())));
+        let notes =
+            (desk.next..).take(OPEN_WINDOWS).filter_map(|window| Some((window, held.snapshots(window)?.clone())));
         notes.filter(|(window, notes)| desk.saved.get(window) != Some(notes)).collect()
     };
     if open.is_empty() {
--- a/crates/trestlerackd/src/entry/feed_relay.rs
+++ b/crates/trestlerackd/src/entry/feed_relay.rs
@@ -8,7 +8,9 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
-use trestlerack::process::{FeedPlace, LevelNode, ServerCounts, ServerRegistry, ask_order, is_node_partition};
+use trestlerack::process::{
+    FeedPosition, FollowerCandidate, ServerCounts, ServerRegistry, follower_order, is_node_partition,
+};
 use trestlerack::rows::StoredRow;
 use trestlerack::time::millis;
 use trestlerack::{Name, Timestamp, event};
@@ -60,7 +62,7 @@
     node: Name,
     zone: Name,
     /// How far the caller has heard this follower; `None` for all.
-    place: Option<FeedPlace>,
+    place: Option<FeedPosition>,
     /// Counts from which the caller drew its servers.
     drawn: u64,
     wait_ms: u64,
@@ -79,7 +81,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub struct FeedChanges {
     rows: Vec<StoredRow>,
-    place: FeedPlace,
+    place: FeedPosition,
     /// Whether these are all rows.
     is_whole: bool,
     /// All servers of the caller, where they are drawn anew.
@@ -106,7 +108,7 @@
     /// Addresses that another node named, before the registered nodes are known.
     named: Vec<Name>,
     /// Follower in use, and how far it was heard.
-    heard: Option<(Name, FeedPlace)>,
+    heard: Option<(Name, FeedPosition)>,
     /// Place of the follower in use in the order in which they are asked.
     turn: usize,
     /// Answers in a row that the follower in turn has nothing to tell.
@@ -204,14 +206,14 @@
 }
 
 fn followers_in_turn(node: &EntryNode) -> Vec<Name> {
-    let own = LevelNode { name: node.settings.name.clone(), zone: node.settings.zone.clone(), capacity: 0 };
+    let own = FollowerCandidate { name: node.settings.name.clone(), zone: node.settings.zone.clone(), capacity: 0 };
     let mut followers = levels::level_nodes(node);
     followers.retain(|follower| node.levels.is_follower(&follower.name));
-    let order = ask_order(&own, &followers);
+    let order = follower_order(&own, &followers);
     order.iter().filter_map(|name| node.peers.get(name).map(|row| row.address)).collect()
 }
 
-async fn ask(node: &Arc<EntryNode>, peer: &Name, place: Option<FeedPlace>, wait_ms: u64) -> Option<FeedReply> {
+async fn ask(node: &Arc<EntryNode>, peer: &Name, place: Option<FeedPosition>, wait_ms: u64) -> Option<FeedReply> {
     let (name, zone) = (node.settings.name.clone(), node.settings.zone.clone());
     let call = FeedCall { node: name, zone, place, drawn: node.levels.drawn(), wait_ms };
     node.peers.ask_feed(peer, call, ANSWER_TIME + Duration::from_millis(wait_ms)).await
@@ -276,7 +278,7 @@
     let mut news = node.levels.subscribe();
     let mut place = call.place;
     loop {
-        let told = node.levels.log().place();
+        let told = node.levels.log().position();
         let rows = place.and_then(|place| changes_for(node, &call, place));
         let is_drawn = node.levels.drawn() == call.drawn;
         if place.is_some() && is_drawn && rows.as_ref().is_some_and(Vec::is_empty) && node.now() < until {
@@ -290,7 +292,7 @@
 }
 
 /// Returns the changes after a place that a node is to know; `None` if it is to be told of all rows.
-fn changes_for(node: &EntryNode, call: &FeedCall, place: FeedPlace) -> Option<Vec<StoredRow>> {
+fn changes_for(node: &EntryNode, call: &FeedCall, place: FeedPosition) -> Option<Vec<StoredRow>> {
     let registry = node.registry.lock().unwrap();
     node.levels.log().changes(place, |row| is_for(node, &registry, call, row))
 }
@@ -300,7 +302,7 @@
     node: &EntryNode,
     call: &FeedCall,
     rows: Option<Vec<StoredRow>>,
-    place: FeedPlace,
+    place: FeedPosition,
     is_drawn: bool,
 ) -> FeedChanges {
     let is_whole = rows.is_none();
--- a/crates/trestlerackd/src/entry/levels.rs
+++ b/crates/trestlerackd/src/entry/levels.rs
@@ -9,7 +9,8 @@
 use std::time::Duration;
 use tokio::sync::watch;
 use trestlerack::process::{
-    FeedLog, LeaseRow, LevelNode, ServerCounts, ServerEntry, choose_followers, follower_count, is_node_partition,
+    ChangeFeed, FollowerCandidate, LeaseRow, ServerCounts, ServerEntry, choose_followers, follower_count,
+    is_node_partition,
 };
 use trestlerack::request::JobHead;
 use trestlerack::rows::StoredRow;
@@ -34,7 +35,7 @@
     /// The nodes that do; `None` while all do.
     followers: RwLock<Option<BTreeSet<Name>>>,
     /// What is passed on to others.
-    log: Mutex<FeedLog>,
+    log: Mutex<ChangeFeed>,
     news: watch::Sender<u64>,
     /// When the question was sent whose answer was taken in last, by table.
     asked_at: Mutex<BTreeMap<&'static str, Timestamp>>,
@@ -62,7 +63,7 @@
             started_at,
             is_direct: watch::channel(false).0,
             followers: RwLock::default(),
-            log: Mutex::new(FeedLog::new(rand::random())),
+            log: Mutex::new(ChangeFeed::new(rand::random())),
             news: watch::channel(0).0,
             asked_at: Mutex::default(),
             is_out: AtomicBool::new(false),
@@ -131,7 +132,7 @@
     }
 
     /// Gives access to what is passed on.
-    pub fn log(&self) -> MutexGuard<'_, FeedLog> {
+    pub fn log(&self) -> MutexGuard<'_, ChangeFeed> {
         self.log.lock().unwrap()
     }
 
@@ -255,14 +256,18 @@
     (is_settled && most > 0).then_some(most)
 }
 
-fn own_node(node: &EntryNode) -> LevelNode {
+fn own_node(node: &EntryNode) -> FollowerCandidate {
     let settings = &node.settings;
-    LevelNode { name: settings.name.clone(), zone: settings.zone.clone(), capacity: settings.capacity() }
+    FollowerCandidate { name: settings.name.clone(), zone: settings.zone.clone(), capacity: settings.capacity() }
 }
 
 /// Returns the registered nodes, as far as levels ask.
-pub fn level_nodes(node: &EntryNode) -> Vec<LevelNode> {
-    node.peers.rows(|name, row| LevelNode { name: name.clone(), zone: row.zone.clone(), capacity: row.capacity })
+pub fn level_nodes(node: &EntryNode) -> Vec<FollowerCandidate> {
+    node.peers.rows(|name, row| FollowerCandidate {
+        name: name.clone(),
+        zone: row.zone.clone(),
+        capacity: row.capacity,
+    })
 }
 
 /// Draws the servers that nodes make use of anew where their numbers have changed much. While all nodes
--- a/crates/trestlerackd/src/entry/order_lease.rs
+++ b/crates/trestlerackd/src/entry/order_lease.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use trestlerack::border::StoreError;
 use trestlerack::hash::{hash_parts, rank_among};
-use trestlerack::process::{LeaseKeeper, LeaseRow, LeaseSettings, LeaseStep, rate_pause};
+use trestlerack::process::{LeaseAction, LeaseKeeper, LeaseRow, LeaseSettings, rate_pause};
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall, StoreReply};
 use trestlerack::{Name, Timestamp, event};
 
@@ -157,7 +157,7 @@
     if let Some((version, held)) = &mut row {
         held.released |= node.peers.is_restarted(&held.holder, held.incarnation, *version);
     }
-    let LeaseStep::Write(row) = desk.keeper.decide(now, row) else {
+    let LeaseAction::Write(row) = desk.keeper.decide(now, row) else {
         desk.free_since = None;
         return;
     };
--- a/crates/trestlerackd/src/entry/peers.rs
+++ b/crates/trestlerackd/src/entry/peers.rs
@@ -21,8 +21,8 @@
 use trestlerack::Name;
 use trestlerack::border::{Clock, StoreError};
 use trestlerack::process::{
-    DescriptorKind, DescriptorSeat, HeldPurpose, NodeNews, NodeRow, NodeRows, RelayChoice, StrikeNote, UsageNote,
-    UsageSender,
+    DescriptorKind, DescriptorSeat, HeldPurpose, NodeNews, NodeRow, NodeRows, RelaySelector, StrikeNote, UsageSender,
+    UsageSnapshot,
 };
 use trestlerack::request::RequestFingerprint;
 use trestlerack::rows::{StoreCall, StoreReply};
@@ -59,7 +59,7 @@
         /// Who counted.
         sender: UsageSender,
         /// What was counted.
-        notes: Vec<UsageNote>,
+        notes: Vec<UsageSnapshot>,
     },
     /// Take strikes over, and say which others you know.
     Strikes {
@@ -115,14 +115,14 @@
     own_address: Name,
     seeds: Mutex<Vec<Name>>,
     known: Mutex<NodeRows>,
-    relays: Mutex<RelayChoice>,
+    relays: Mutex<RelaySelector>,
     time: SystemClock,
 }
 
 impl PeerClient {
     /// Builds a client that knows the seeds only.
     pub fn new(pool: Arc<ConnectionPool>, own_address: Name, seeds: Vec<Name>) -> Self {
-        let relays = Mutex::new(RelayChoice::new(&own_address));
+        let relays = Mutex::new(RelaySelector::new(&own_address));
         let (seeds, known, time) = (Mutex::new(seeds), Mutex::default(), SystemClock::new());
         Self { pool, own_address, seeds, known, relays, time }
     }
@@ -234,7 +234,7 @@
     }
 
     /// Tells the holder of the lease what was counted; `None` if it does not answer.
-    pub async fn tell_usage(&self, peer: &Name, sender: &UsageSender, notes: &[UsageNote]) -> Option<()> {
+    pub async fn tell_usage(&self, peer: &Name, sender: &UsageSender, notes: &[UsageSnapshot]) -> Option<()> {
         let call = PeerCall::Usage { sender: sender.clone(), notes: notes.to_vec() };
         match self.ask(peer, &call, PING_TIMEOUT).await {
             Some(PeerReply::Noted) => Some(()),
--- a/crates/trestlerackd/src/node.rs
+++ b/crates/trestlerackd/src/node.rs
@@ -27,7 +27,7 @@
 use tokio::sync::Semaphore;
 use trestlerack::border::{Clock, EngineClient, MembershipSource, ObjectStore, ScoringClient, TableStore};
 use trestlerack::process::{
-    DaemonSettings, MembershipSettings, OwnerTable, OwnershipView, PeerInfo, PeerMembership, RetryBudget, StepStore,
+    DaemonSettings, EngineOwners, MembershipSettings, OwnershipView, PeerInfo, PeerMembership, RetryBudget, StepStore,
 };
 use trestlerack::time::millis;
 use trestlerack::version::ConfigStore;
@@ -68,7 +68,7 @@
     /// Nodes that may own something.
     pub ownership: RwLock<OwnershipView>,
     /// Owners of engines.
-    pub owners: RwLock<OwnerTable>,
+    pub owners: RwLock<EngineOwners>,
     /// Dispatchers of the owned engines, in shards.
     pub desks: DeskTable,
     /// Leases on models.
--- a/crates/trestlerackd/src/process/rollout_loop.rs
+++ b/crates/trestlerackd/src/process/rollout_loop.rs
@@ -11,7 +11,7 @@
 use trestlerack::border::{CommitOutcome, StoreError, TableRow, TableTransaction};
 use trestlerack::connection::LinkFrame;
 use trestlerack::event;
-use trestlerack::process::{LeaseKeeper, LeaseRow, LeaseSettings, LeaseStep};
+use trestlerack::process::{LeaseAction, LeaseKeeper, LeaseRow, LeaseSettings};
 use trestlerack::version::{BackendKind, Configuration, EngineOrder, WeightTarget, WeightVersion};
 use trestlerack::{Name, PlaceSet};
 
@@ -112,7 +112,7 @@
     let read_at = node.now();
     let seen = row.as_ref().and_then(|row| Some((row.version, decode_lease(row)?)));
     let step = with_keeper(node, model, |keeper| keeper.decide(read_at, seen));
-    if let LeaseStep::Write(next) = step {
+    if let LeaseAction::Write(next) = step {
         let sent_at = node.now();
         let outcome = node.table.commit(lease_write(&key, row.as_ref(), &next)).await;
         match outcome {
@@ -168,7 +168,7 @@
     let quiet_over = ordering.is_some();
     let target = WeightTarget { model: model.clone(), version, fence, serving_percent, quiet_over };
     let places = PlaceSet::new(config.serving(BackendKind::Engine, model).map(|backend| backend.zone.clone()));
-    let owners = node.owners.read().unwrap().owners(model, &places);
+    let owners = node.owners.read().unwrap().model_owners(model, &places);
     let nodes: BTreeSet<Name> = owners.into_iter().map(|owner| owner.node).collect();
     for owner in nodes {
         if owner == *node.name() {
--- a/crates/trestlerackd/src/process/spool.rs
+++ b/crates/trestlerackd/src/process/spool.rs
@@ -11,15 +11,15 @@
 use trestlerack::Name;
 use trestlerack::connection::LinkFrame;
 use trestlerack::event;
-use trestlerack::process::{MadeGroup, SampleSpool, SpoolSettings};
+use trestlerack::process::{GeneratedGroup, SampleSpool, SpoolSettings};
 
 /// Interval at which the spool is looked at.
 const LOOK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The spool of this node and the copies that it keeps for peers.
 pub struct GroupSpool {
-    own: Mutex<SampleSpool<MadeGroup>>,
-    copies: Mutex<HashMap<Name, (Name, MadeGroup)>>,
+    own: Mutex<SampleSpool<GeneratedGroup>>,
+    copies: Mutex<HashMap<Name, (Name, GeneratedGroup)>>,
     max_copies_bytes: usize,
 }
 
@@ -48,7 +48,7 @@
             return;
         }
         let held: usize = copies.values().map(|(_, group)| group.size()).sum();
-        let decoded = serde_json::from_str::<MadeGroup>(content);
+        let decoded = serde_json::from_str::<GeneratedGroup>(content);
         if let Ok(group) = decoded
             && held + group.size() <= self.max_copies_bytes
         {
@@ -72,7 +72,7 @@
 }
 
 /// Puts a made group into the spool and a copy of it onto a peer in an allowed place.
-pub async fn store(node: &Arc<Node>, group: MadeGroup) {
+pub async fn store(node: &Arc<Node>, group: GeneratedGroup) {
     logs::write(event::GROUP_SPOOLED, &[("group", &group.key())]);
     node.telemetry.spooled.add(1, &[]);
     let content = serde_json::to_string(&group).unwrap_or_default();
@@ -83,7 +83,7 @@
     }
 }
 
-async fn send_copy(node: &Arc<Node>, group: &MadeGroup, content: String) {
+async fn send_copy(node: &Arc<Node>, group: &GeneratedGroup, content: String) {
     let config = node.config.current();
     let Some(campaign) = config.campaign(&group.campaign) else { return };
     let key: Name = group.key().into();
--- a/crates/trestlerackd/src/process/step_loop.rs
+++ b/crates/trestlerackd/src/process/step_loop.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 use trestlerack::connection::{GroupWanted, LinkFrame};
-use trestlerack::process::{ManifestCache, StepLook, StepRow, StepSubmission, group_key};
+use trestlerack::process::{ManifestCache, SealOutcome, StepRow, StepSubmission, group_key};
 use trestlerack::version::Campaign;
 use trestlerack::{Name, Timestamp, event};
 
@@ -100,18 +100,18 @@
     }
 }
 
-async fn act_on_look(node: &Arc<Node>, campaign: &Campaign, look: StepLook, is_next: bool) {
+async fn act_on_look(node: &Arc<Node>, campaign: &Campaign, look: SealOutcome, is_next: bool) {
     match look {
-        StepLook::Closed => {}
-        StepLook::Sealed(row) => logs::write(
+        SealOutcome::Closed => {}
+        SealOutcome::Sealed(row) => logs::write(
             event::STEP_SEALED,
             &[("campaign", &row.campaign), ("step", &row.step), ("groups", &row.groups)],
         ),
-        StepLook::Missing { row, submission, missing } => {
+        SealOutcome::Missing { row, submission, missing } => {
             let open = OpenStep { row: &row, submission: &submission, is_next };
             ask_for_groups(node, campaign, open, &missing).await;
         }
-        StepLook::Removed { row, removed } => {
+        SealOutcome::Removed { row, removed } => {
             for group in &removed {
                 forget_removed(node, &row, group);
             }
--- a/crates/trestlerackd/src/request/call_router.rs
+++ b/crates/trestlerackd/src/request/call_router.rs
@@ -108,13 +108,13 @@
 /// Returns whether some owner of a model's engines is believed to have a slot to spare, so that a
 /// hedge takes nothing away from a first attempt.
 pub fn has_spare(node: &Node, model: &Name, places: &PlaceSet) -> bool {
-    let owners = node.owners.read().unwrap().owners(model, places);
+    let owners = node.owners.read().unwrap().model_owners(model, places);
     owners.iter().any(|owner| node.loads.belief(node.now(), model, &owner.node).0 < owner.slots)
 }
 
 /// Returns the owner that a call's prefix and the owners' load point to, without those to `avoid`.
 pub fn choose_owner(node: &Node, spec: &CallSpec, avoid: &[Name]) -> Result<OwnerChoice, Failure> {
-    let mut owners = node.owners.read().unwrap().owners(&spec.model, &spec.places);
+    let mut owners = node.owners.read().unwrap().model_owners(&spec.model, &spec.places);
     owners.retain(|owner| !avoid.contains(&owner.node));
     let beliefs: Vec<_> = owners.iter().map(|owner| node.loads.belief(node.now(), &spec.model, &owner.node)).collect();
     let views: Vec<EngineView<'_>> = owners
--- a/crates/trestlerackd/src/request/desks.rs
+++ b/crates/trestlerackd/src/request/desks.rs
@@ -12,7 +12,7 @@
 use trestlerack::border::EngineStatus;
 use trestlerack::connection::{BackendNews, NewsSource, NodeLoad};
 use trestlerack::hash::hash_parts;
-use trestlerack::process::{DaemonSettings, LeavingBoard};
+use trestlerack::process::{DaemonSettings, DrainingServers};
 use trestlerack::request::{
     DispatchAction, DispatchEngine, DispatchEvent, DispatchSettings, EngineDispatcher, QueuedCall,
 };
@@ -51,7 +51,7 @@
     rollout_settings: RolloutSettings,
     desks: Sharded<ModelDesks>,
     engines: RwLock<BTreeMap<Name, Backend>>,
-    leaving: Mutex<LeavingBoard>,
+    leaving: Mutex<DrainingServers>,
     unreachable: Mutex<HashSet<Name>>,
     last_id: AtomicU64,
     recorder: Arc<TraceRecorder>,
@@ -242,7 +242,7 @@
 
     /// Takes in the backend servers that the platform's list calls leaving.
     pub fn listed_leaving(&self, now: Timestamp, leaving: &[Name]) {
-        let changed = self.leaving.lock().unwrap().listed(leaving, SystemClock::unix_millis(), PEERS_ESTIMATE);
+        let changed = self.leaving.lock().unwrap().merge_list(leaving, SystemClock::unix_millis(), PEERS_ESTIMATE);
         for backend in changed {
             self.refresh_open(now, &backend);
         }
@@ -251,7 +251,7 @@
     /// Takes in a backend server's own answer.
     pub fn engine_answered(&self, now: Timestamp, engine: &Name, leaving: bool) {
         let stamp = SystemClock::unix_millis();
-        self.leaving.lock().unwrap().answered(engine, leaving, stamp, PEERS_ESTIMATE);
+        self.leaving.lock().unwrap().record_answer(engine, leaving, stamp, PEERS_ESTIMATE);
         self.refresh_open(now, engine);
     }
 
@@ -269,19 +269,19 @@
     /// Takes in news from a peer.
     pub fn hear_news(&self, now: Timestamp, news: BackendNews) {
         let backend = news.backend.clone();
-        if self.leaving.lock().unwrap().hear(news, PEERS_ESTIMATE) {
+        if self.leaving.lock().unwrap().merge(news, PEERS_ESTIMATE) {
             self.refresh_open(now, &backend);
         }
     }
 
     /// Returns whether a backend server receives no new work.
     pub fn is_leaving(&self, backend: &str) -> bool {
-        self.leaving.lock().unwrap().is_leaving(backend)
+        self.leaving.lock().unwrap().is_draining(backend)
     }
 
     /// Takes the news to put on the next heartbeat.
     pub fn take_news(&self) -> Vec<BackendNews> {
-        self.leaving.lock().unwrap().take_news()
+        self.leaving.lock().unwrap().take_updates()
     }
 
     /// Records whether an engine can be reached; one that cannot gets no work until it answers.
--- a/crates/trestlerackd/src/request/group_record.rs
+++ b/crates/trestlerackd/src/request/group_record.rs
@@ -5,10 +5,10 @@
 use std::sync::Arc;
 use trestlerack::border::StoreError;
 use trestlerack::event;
-use trestlerack::process::{MadeGroup, Recorded};
+use trestlerack::process::{GeneratedGroup, Recorded};
 
 /// Records a group. Repeating it is harmless, also when an earlier answer was lost.
-pub async fn record(node: &Arc<Node>, group: &MadeGroup) -> Result<Recorded, StoreError> {
+pub async fn record(node: &Arc<Node>, group: &GeneratedGroup) -> Result<Recorded, StoreError> {
     let outcome = node.step_store().record(group).await;
     match outcome {
         Ok(Recorded::Ours) => logs::write(event::GROUP_RECORDED, &[("group", &group.key())]),
--- a/crates/trestlerackd/src/request/group_runner.rs
+++ b/crates/trestlerackd/src/request/group_runner.rs
@@ -15,7 +15,7 @@
 use tokio::sync::mpsc;
 use trestlerack::connection::{CallSpec, GroupWanted, TokenChunk};
 use trestlerack::hash::hash_parts;
-use trestlerack::process::MadeGroup;
+use trestlerack::process::GeneratedGroup;
 use trestlerack::request::{
     GroupAction, GroupDriver, GroupEvent, GroupSettings, RequestContent, ResumePolicy, Sample, SampleAssembler,
 };
@@ -98,13 +98,13 @@
     config.campaign(&campaign.name).is_some_and(|current| current.places == campaign.places)
 }
 
-fn made_group(node: &Node, wanted: &GroupWanted, samples: &[Sample]) -> MadeGroup {
+fn made_group(node: &Node, wanted: &GroupWanted, samples: &[Sample]) -> GeneratedGroup {
     let mut lines = String::new();
     for sample in samples {
         lines.push_str(&serde_json::to_string(sample).expect("a sample always encodes"));
         lines.push('\n');
     }
-    MadeGroup {
+    GeneratedGroup {
         campaign: wanted.campaign.clone(),
         step: wanted.step,
         group: wanted.spec.group.clone(),
--- a/crates/trestlerackd/tests/entry/levels.rs
+++ b/crates/trestlerackd/tests/entry/levels.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 use trestlerack::Name;
-use trestlerack::process::{LevelNode, choose_followers};
+use trestlerack::process::{FollowerCandidate, choose_followers};
 
 /// Time in which a configuration is in force at each node, whatever fails.
 const CONFIG_TIME: Duration = Duration::from_secs(5);
@@ -35,7 +35,7 @@
             };
             nodes.push(EntryDaemon::start_with(name, &settings));
         }
-        let level = |name: &str| LevelNode { name: name.into(), zone: "z".into(), capacity: 1_000 };
+        let level = |name: &str| FollowerCandidate { name: name.into(), zone: "z".into(), capacity: 1_000 };
         let followers = choose_followers(&NAMES.map(level), 2);
         assert_eq!(followers.len(), 2);
         // Those that were to follow while there were fewer nodes find out that they are not.
