--- a/crates/trestlerack/src/process/entry_settings.rs
+++ b/crates/trestlerack/src/process/entry_settings.rs
@@ -14,57 +14,59 @@
     pub name: Name,
     /// Availability zone of the VM.
     pub zone: Name,
-    /// Address on which clients are served.
+    /// Listen address for clients.
     pub client_listen: Name,
-    /// Address on which readiness is told.
+    /// Listen address for readiness checks.
     pub ready_listen: Name,
-    /// Address on which peers are served.
+    /// Listen address for peers.
     pub peer_listen: Name,
-    /// Address on which metrics are served; empty for none.
+    /// Listen address for metrics; empty for none.
     pub metrics_listen: String,
     /// URL of an OTLP collector for spans; empty for none.
     pub otlp_endpoint: String,
-    /// Peer addresses of a few nodes that may be up.
+    /// Peer addresses of a few nodes that may be running.
     pub seeds: Vec<Name>,
     /// Address of the platform's store.
     pub store: Name,
-    /// Reading calls that the store takes from all nodes together, each second.
+    /// Read calls per second that the store accepts from all nodes together.
     pub store_reads_per_s: u64,
-    /// Most bytes of a row's content.
+    /// Maximum size of a row's content in the store, in bytes.
     pub store_row_bytes: usize,
-    /// Share of a processor core that the VM has.
+    /// Number of processor cores that the VM has, which may be a fraction of one.
     pub cpu_share: f64,
-    /// How many times as fast as one core that core is.
+    /// Speed of such a core relative to a standard core.
     pub cpu_speed: f64,
-    /// Memory of the VM in megabytes; 0 bounds nothing that is held.
+    /// Memory of the VM in megabytes, from which the limits on buffered data follow; 0 for no limits.
     pub memory_mb: u64,
-    /// Descriptors that the process may have open; 0 bounds no connections.
+    /// Maximum number of open file descriptors, from which the limits on connections follow; 0 for no limits.
     pub max_descriptors: u64,
-    /// Time from a planned stop to the kill, in seconds.
+    /// Time from the start of a planned stop until the platform kills the process, in seconds.
     pub stop_limit_s: f64,
-    /// Time that a new holder of the order lease waits for the last order of the holder before it.
+    /// Time that a new holder of the order lease waits before its first order, so that no order of the
+    /// previous holder is still in flight, in milliseconds.
     pub order_handover_ms: u64,
-    /// Time after its submission for which an ended job can be read, in seconds.
+    /// Time after its submission for which a finished job can be read, in seconds.
     pub retention_s: u64,
-    /// Interval at which backend servers write to service discovery.
+    /// Interval at which backend servers write heartbeats to service discovery, in milliseconds.
     pub server_heartbeat_ms: u64,
-    /// Nodes that follow the store and tell the others; 0 decides by the size of the fleet.
+    /// Number of nodes that follow the store and relay its changes; 0 to derive it from the size of the
+    /// fleet.
     pub followers: usize,
-    /// Share of a service's engines that may load weights at once.
+    /// Fraction of a service's engines that may load weights at the same time.
     pub load_share: f64,
-    /// Time that a load of weights takes, until loads were seen.
+    /// Assumed time to load weights until a load has been observed, in milliseconds.
     pub first_load_ms: u64,
-    /// Address of the platform's interface for duties; empty where there is none.
+    /// Address of the platform's API for duties (usage reports and orders of engines); empty for none.
     pub duty_service: Name,
-    /// Duty calls that the platform takes from all nodes together, each second.
+    /// Duty calls per second that the platform accepts from all nodes together.
     pub duty_calls_per_s: f64,
-    /// Length of a window of usage reports, in seconds; 0 for no reports.
+    /// Length of a usage report's window, in seconds; 0 for no reports.
     pub usage_window_s: f64,
-    /// Time after a window's end at which its report is due, in seconds.
+    /// Time from the end of a window until its report is due, in seconds.
     pub usage_due_s: f64,
-    /// Whether calls of customers that have more than their share of a short service are refused.
+    /// Whether calls of customers that exceed their share of an overloaded service are refused.
     pub customer_shares: bool,
-    /// Log level.
+    /// Least severe level that is logged.
     pub log_level: Name,
 }
 
@@ -103,21 +105,21 @@
     }
 }
 
-/// Heartbeats of silence after which the entry of a backend server lapses, by the platform's pages.
-const LAPSE_HEARTBEATS: u64 = 3;
+/// Number of missed heartbeats after which the platform expires the entry of a backend server.
+const EXPIRY_HEARTBEATS: u64 = 3;
 
 impl EntrySettings {
-    /// Returns what the VM's processor can do, in thousandths of a core.
+    /// Returns the processor capacity of the VM, in thousandths of a standard core.
     pub fn capacity(&self) -> u32 {
         (self.cpu_share * self.cpu_speed * 1_000.0).round() as u32
     }
 
-    /// Returns the time after which service discovery has dropped the entry of a server that is gone.
-    pub fn lapse_time(&self) -> Duration {
-        Duration::from_millis(self.server_heartbeat_ms.saturating_mul(LAPSE_HEARTBEATS))
+    /// Returns the time after which service discovery expires the entry of a server without heartbeats.
+    pub fn entry_ttl(&self) -> Duration {
+        Duration::from_millis(self.server_heartbeat_ms.saturating_mul(EXPIRY_HEARTBEATS))
     }
 
-    /// Returns how usage is reported, where it is.
+    /// Returns the settings of usage reports, or `None` if usage is not reported.
     pub fn usage(&self) -> Option<UsageSettings> {
         let millis = |seconds: f64| (seconds * 1_000.0) as u64;
         let settings = UsageSettings { window_ms: millis(self.usage_window_s), due_ms: millis(self.usage_due_s) };
@@ -139,104 +141,110 @@
 
 const HOUR_MS: u64 = 3_600_000;
 
-/// The fields of the settings file, also the source of docs/SETTINGS.md.
+/// The fields of the settings file, from which `docs/SETTINGS.md` is generated as well.
 pub const ENTRY_FIELDS: &[FieldSpec] = &[
     field("name", FieldKind::Text, None, "Name of the VM; unique."),
     field("zone", FieldKind::Text, None, "Availability zone of the VM."),
-    field("client_listen", FieldKind::Address, Some("127.0.0.1:0"), "Address for clients."),
-    field("ready_listen", FieldKind::Address, Some("127.0.0.1:0"), "Address at which readiness is asked."),
-    field("peer_listen", FieldKind::Address, Some("127.0.0.1:0"), "Address for peers."),
-    field("metrics_listen", FieldKind::Text, Some(""), "Address for metrics; none if left out."),
+    field("client_listen", FieldKind::Address, Some("127.0.0.1:0"), "Listen address for clients."),
+    field("ready_listen", FieldKind::Address, Some("127.0.0.1:0"), "Listen address for readiness checks."),
+    field("peer_listen", FieldKind::Address, Some("127.0.0.1:0"), "Listen address for peers."),
+    field("metrics_listen", FieldKind::Text, Some(""), "Listen address for metrics; none if left out."),
     field("otlp_endpoint", FieldKind::Text, Some(""), "URL of an OTLP collector for spans; none if left out."),
-    field("seeds", FieldKind::TextList, Some("[]"), "Peer addresses of a few nodes that may be up."),
+    field("seeds", FieldKind::TextList, Some("[]"), "Peer addresses of a few nodes that may be running."),
     field("store", FieldKind::Address, None, "Address of the platform's store."),
     count(
         "store_reads_per_s",
         1,
         1 << 30,
         "2000",
-        "Reading calls that the store takes from all nodes together, each second.",
+        "Read calls per second that the store accepts from all nodes together.",
     ),
-    count("store_row_bytes", 1_024, 1 << 30, "65536", "Most bytes of the content of a row in the store."),
+    count("store_row_bytes", 1_024, 1 << 30, "65536", "Maximum size of a row's content in the store, in bytes."),
     ratio(
         "cpu_share",
         0.001,
         1_024.0,
         "1",
-        "Share of a processor core that the VM has; larger VMs drive the batch jobs.",
+        "Number of processor cores that the VM has, which may be a fraction of one; larger VMs drive the batch jobs.",
     ),
-    ratio("cpu_speed", 0.001, 1_024.0, "1", "How many times as fast as one core that core is."),
+    ratio("cpu_speed", 0.001, 1_024.0, "1", "Speed of such a core relative to a standard core."),
     count(
         "memory_mb",
         0,
         1 << 30,
         "0",
-        "Memory of the VM in megabytes, from which it follows how much is held for callers; 0 for no bound.",
+        "Memory of the VM in megabytes, from which the limits on buffered data follow; 0 for no limits.",
     ),
     count(
         "max_descriptors",
         0,
         1 << 30,
         "0",
-        "Descriptors that the process may have open, of which clients, peers, servers and the store have parts; 0 for no bound.",
+        "Maximum number of open file descriptors, divided among clients, peers, servers and the store; 0 for no limits.",
+    ),
+    ratio(
+        "stop_limit_s",
+        0.1,
+        3_600.0,
+        "8",
+        "Time from the start of a planned stop until the platform kills the process.",
     ),
-    ratio("stop_limit_s", 0.1, 3_600.0, "8", "Time from a planned stop to the kill."),
     count(
         "order_handover_ms",
         1,
         HOUR_MS,
         "3000",
-        "Time that a new holder of the order lease waits before its first order.",
+        "Time that a new holder of the order lease waits before its first order, so that none of the previous holder is in flight.",
     ),
-    count("retention_s", 1, 30 * 86_400, "600", "Time after its submission for which an ended job can be read."),
+    count("retention_s", 1, 30 * 86_400, "600", "Time after its submission for which a finished job can be read."),
     count(
         "server_heartbeat_ms",
         1,
         HOUR_MS,
         "1200",
-        "Interval at which backend servers write to service discovery; an entry lapses after three.",
+        "Interval at which backend servers write heartbeats to service discovery; an entry expires after three missed ones.",
     ),
     count(
         "followers",
         0,
         1 << 20,
         "0",
-        "Nodes that follow the store and tell the others of changes, two a zone at least; 0 decides by the size of the fleet.",
+        "Number of nodes that follow the store and relay its changes, at least two per zone; 0 to derive it from the size of the fleet.",
     ),
     ratio(
         "load_share",
         0.0,
         1.0,
         "0.2",
-        "Share of a service's engines that may load weights at once; two may in any case.",
+        "Fraction of a service's engines that may load weights at the same time; two may in any case.",
     ),
-    count("first_load_ms", 1, HOUR_MS, "950", "Time that a load of weights takes, until loads were seen."),
+    count("first_load_ms", 1, HOUR_MS, "950", "Assumed time to load weights until a load has been observed."),
     field(
         "duty_service",
         FieldKind::Text,
         Some(""),
-        "Address of the platform's interface for usage reports and orders of engines; none if left out.",
+        "Address of the platform's API for duties (usage reports and orders of engines); none if left out.",
     ),
     ratio(
         "duty_calls_per_s",
         0.1,
         1_000_000.0,
         "10",
-        "Calls for duties that the platform takes from all nodes together, each second; a quarter of them are made for each duty.",
+        "Duty calls per second that the platform accepts from all nodes together; each duty makes at most a quarter of them.",
     ),
     ratio(
         "usage_window_s",
         0.0,
         86_400.0,
         "0",
-        "Length of a window of usage reports, counted from 1970; 0 for no reports.",
+        "Length of a usage report's window, counted from 1970; 0 for no reports.",
     ),
-    ratio("usage_due_s", 0.1, 86_400.0, "10", "Time after a window's end at which its report is due."),
+    ratio("usage_due_s", 0.1, 86_400.0, "10", "Time from the end of a window until its report is due."),
     field(
         "customer_shares",
         FieldKind::Flag,
         Some("false"),
-        "Whether calls of customers that have more than their share of a service that is short are refused.",
+        "Whether calls of customers that exceed their share of an overloaded service are refused.",
     ),
     field(
         "log_level",
@@ -246,7 +254,7 @@
     ),
 ];
 
-/// Parses a settings file and reports every fault of it at once.
+/// Parses a settings file. All errors of the file are reported together.
 pub fn parse_entry_settings(file: &str, text: &str) -> Result<EntrySettings, Vec<DocumentFault>> {
     let document = check_document(file, text, ENTRY_FIELDS)?;
     EntrySettings::deserialize(document.value()).map_err(|error| vec![document.fault("document", error.to_string())])
--- a/crates/trestlerack/src/process/lease.rs
+++ b/crates/trestlerack/src/process/lease.rs
@@ -108,7 +108,7 @@
     }
 
     /// Records that `row` was written by a transaction that was sent at `sent_at`.
-    pub fn written(&mut self, sent_at: Timestamp, row: LeaseRow) {
+    pub fn record_write(&mut self, sent_at: Timestamp, row: LeaseRow) {
         let renewed = self.held.as_ref().is_some_and(|held| held.row.fence == row.fence);
         let unfenced_orders_from = match &self.held {
             Some(held) if renewed => held.unfenced_orders_from,
--- a/crates/trestlerack/src/process/mod.rs
+++ b/crates/trestlerack/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as the process: peers, ownership, leases, limits, steps and the spool.
+//! State that lives as long as the process: peers, ownership, leases, limits, steps and the spool.
 
 mod answer_time;
 mod broadcast;
@@ -101,9 +101,9 @@
 pub use steady_wall::SteadyWall;
 pub use step::{
     GroupRow, GroupSpec, SealDecision, SealedGroup, StepRow, StepState, StepSubmission, decide_seal, group_key,
-    group_prefix, open_key, step_key,
+    group_prefix, open_step_key, step_key,
 };
-pub use step_store::{GeneratedGroup, ManifestCache, Opened, Recorded, SealOutcome, StepStore};
+pub use step_store::{GeneratedGroup, ManifestCache, OpenOutcome, RecordOutcome, SealOutcome, StepStore};
 pub use suspects::{
     GossipSettings, NEWS_LAG, StrikeNote, SuspectBook, SuspectLine, SuspectRun, SuspectSettings, SuspectStanding,
     TrialBook, server_start,
--- a/crates/trestlerack/src/process/registry.rs
+++ b/crates/trestlerack/src/process/registry.rs
@@ -1,4 +1,4 @@
-//! Backend servers as service discovery lists them.
+//! Backend servers that are registered in service discovery.
 
 use crate::version::WeightVersion;
 use crate::{Name, Timestamp};
@@ -6,56 +6,57 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::time::Duration;
 
-/// One registered backend server.
+/// The service discovery entry of one backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerEntry {
-    /// Instance. A server that starts again may have the one that it had.
+    /// Name of the instance. A restarted server may have the same one as before.
     pub instance: Name,
-    /// Start of the server in milliseconds since 1970, by its own clock; 0 if it does not say.
+    /// Start of the server in milliseconds since 1970, by its own clock; 0 if it does not report one.
     pub started_ms: u64,
     /// Service that the server belongs to.
     pub service: Name,
-    /// Address.
+    /// Address of the server.
     pub address: Name,
     /// Availability zone.
     pub zone: Name,
-    /// Requests that it runs at once.
+    /// Maximum number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it asks for no new work.
+    /// Whether it is draining, that is, asks for no new work.
     pub is_draining: bool,
-    /// Weight versions that it held at its last heartbeat.
+    /// Models and the weight versions that were loaded at its last heartbeat.
     pub models: Vec<(Name, WeightVersion)>,
-    /// Counts heartbeats.
+    /// Number of heartbeats so far.
     pub heartbeat: u64,
 }
 
 /// Settings of a [`ServerRegistry`].
 #[derive(Clone, Debug)]
 pub struct RegistrySettings {
-    /// Time after the store's return within which entries that lapsed during its outage come back;
-    /// the users' letter says about two seconds, and half a second is added for the watch.
-    pub return_time: Duration,
+    /// Time after an outage of the store within which live servers whose entries expired register again.
+    /// The platform states about two seconds; half a second is added for the delay of the watch.
+    pub reregistration_time: Duration,
 }
 
 impl Default for RegistrySettings {
     fn default() -> Self {
-        Self { return_time: Duration::from_millis(2_500) }
+        Self { reregistration_time: Duration::from_millis(2_500) }
     }
 }
 
-/// The registered backend servers, with those that lapsed during an outage of the store.
+/// The registered backend servers, including those whose entries were removed just after an outage of
+/// the store and that may still register again.
 #[derive(Clone, Debug, Default)]
 pub struct ServerRegistry {
     settings: RegistrySettings,
     entries: BTreeMap<Name, ServerEntry>,
-    /// Instances by service.
+    /// Instance names by service.
     services: BTreeMap<Name, BTreeSet<Name>>,
-    /// Counts changes of entries other than heartbeats.
+    /// Number of changes of entries other than heartbeats.
     changes: u64,
-    /// Lapsed entries that are still believed, until the given time.
-    lapsed: BTreeMap<Name, Timestamp>,
-    outage_ended: Option<Timestamp>,
-    is_out: bool,
+    /// Removed entries that are still kept, and the time until which they are.
+    pending_removals: BTreeMap<Name, Timestamp>,
+    outage_ended_at: Option<Timestamp>,
+    is_store_down: bool,
 }
 
 impl ServerRegistry {
@@ -64,77 +65,78 @@
         Self { settings, ..Self::default() }
     }
 
-    /// Records that the store cannot be read.
+    /// Records that the store has become unavailable.
     pub fn store_lost(&mut self) {
-        self.is_out = true;
+        self.is_store_down = true;
     }
 
-    /// Records that the store can be read again.
-    pub fn store_returned(&mut self, now: Timestamp) {
-        if self.is_out {
-            self.is_out = false;
-            self.outage_ended = Some(now);
+    /// Records that the store is available again.
+    pub fn store_regained(&mut self, now: Timestamp) {
+        if self.is_store_down {
+            self.is_store_down = false;
+            self.outage_ended_at = Some(now);
         }
     }
 
-    /// Returns whether the list may lack servers that live: the store is away, or was until just now.
+    /// Returns whether live servers may be missing, because the store is unavailable or because removals
+    /// after an outage are pending.
     pub fn may_be_incomplete(&self) -> bool {
-        self.is_out || !self.lapsed.is_empty()
+        self.is_store_down || !self.pending_removals.is_empty()
     }
 
-    /// Takes over an entry, unless it is of an earlier start than the one held. Returns whether more
-    /// than the heartbeat changed.
+    /// Stores an entry, unless the known one is of a later start of the server. Returns whether more than
+    /// the heartbeat changed.
     pub fn put(&mut self, entry: ServerEntry) -> bool {
-        let held = self.entries.get(&entry.instance);
-        if held.is_some_and(|held| held.started_ms > entry.started_ms) {
+        let known = self.entries.get(&entry.instance);
+        if known.is_some_and(|known| known.started_ms > entry.started_ms) {
             return false;
         }
-        self.lapsed.remove(&entry.instance);
-        let is_news = held.is_none_or(|held| ServerEntry { heartbeat: entry.heartbeat, ..held.clone() } != entry);
-        if is_news {
+        self.pending_removals.remove(&entry.instance);
+        let is_changed = known.is_none_or(|known| ServerEntry { heartbeat: entry.heartbeat, ..known.clone() } != entry);
+        if is_changed {
             self.changes += 1;
-            self.leave_service(&entry.instance);
+            self.remove_from_service(&entry.instance);
             self.services.entry(entry.service.clone()).or_default().insert(entry.instance.clone());
         }
         self.entries.insert(entry.instance.clone(), entry);
-        is_news
+        is_changed
     }
 
-    fn leave_service(&mut self, instance: &str) {
-        let Some(held) = self.entries.get(instance) else { return };
-        if let Some(instances) = self.services.get_mut(&held.service) {
+    fn remove_from_service(&mut self, instance: &str) {
+        let Some(known) = self.entries.get(instance) else { return };
+        if let Some(instances) = self.services.get_mut(&known.service) {
             instances.remove(instance);
         }
     }
 
-    fn forget(&mut self, instance: &str) -> bool {
-        self.leave_service(instance);
-        let was_held = self.entries.remove(instance).is_some();
-        self.changes += u64::from(was_held);
-        was_held
+    fn remove_now(&mut self, instance: &str) -> bool {
+        self.remove_from_service(instance);
+        let was_known = self.entries.remove(instance).is_some();
+        self.changes += u64::from(was_known);
+        was_known
     }
 
-    /// Records that an entry was removed. Shortly after an outage it is believed a little longer,
-    /// because servers that live are about to register again. Returns whether it is gone now.
+    /// Records that an entry was removed from the store. Shortly after an outage it is kept a little
+    /// longer, because live servers are about to register again. Returns whether it was removed here.
     pub fn remove(&mut self, now: Timestamp, instance: &str) -> bool {
-        let limit = self.outage_ended.map(|ended| ended + self.settings.return_time);
+        let limit = self.outage_ended_at.map(|ended| ended + self.settings.reregistration_time);
         match limit {
             Some(limit) if now < limit && self.entries.contains_key(instance) => {
-                self.lapsed.insert(instance.into(), limit);
+                self.pending_removals.insert(instance.into(), limit);
                 false
             }
-            _ => self.forget(instance),
+            _ => self.remove_now(instance),
         }
     }
 
-    /// Forgets an entry that was written over by something that names no server. Whatever the store
-    /// did before, it is not believed any longer. Returns whether there was one.
-    pub fn refuse(&mut self, instance: &str) -> bool {
-        self.lapsed.remove(instance);
-        self.forget(instance)
+    /// Removes an entry that was overwritten by a row that describes no server. Unlike a removed entry, it
+    /// is not kept after an outage. Returns whether there was one.
+    pub fn remove_invalid(&mut self, instance: &str) -> bool {
+        self.pending_removals.remove(instance);
+        self.remove_now(instance)
     }
 
-    /// Replaces everything by a full read; entries that it lacks are removed as by [`Self::remove`].
+    /// Replaces all entries by those of a full read. Missing ones are removed as by [`Self::remove`].
     pub fn replace(&mut self, now: Timestamp, entries: Vec<ServerEntry>) {
         let listed: HashSet<Name> = entries.iter().map(|entry| entry.instance.clone()).collect();
         for entry in entries {
@@ -142,29 +144,29 @@
         }
         let missing: Vec<Name> = self.entries.keys().filter(|name| !listed.contains(*name)).cloned().collect();
         for instance in missing {
-            if !self.lapsed.contains_key(&instance) {
+            if !self.pending_removals.contains_key(&instance) {
                 self.remove(now, &instance);
             }
         }
     }
 
-    /// Forgets lapsed entries whose time is over; returns their instances.
+    /// Removes the entries whose removal is no longer pending and returns their instances.
     pub fn expire(&mut self, now: Timestamp) -> Vec<Name> {
-        let over: Vec<Name> =
-            self.lapsed.iter().filter(|(_, limit)| **limit <= now).map(|(name, _)| name.clone()).collect();
-        for instance in &over {
-            self.lapsed.remove(instance);
-            self.forget(instance);
+        let due: Vec<Name> =
+            self.pending_removals.iter().filter(|(_, limit)| **limit <= now).map(|(name, _)| name.clone()).collect();
+        for instance in &due {
+            self.pending_removals.remove(instance);
+            self.remove_now(instance);
         }
-        over
+        due
     }
 
-    /// Returns an entry.
+    /// Returns the entry of an instance.
     pub fn get(&self, instance: &str) -> Option<&ServerEntry> {
         self.entries.get(instance)
     }
 
-    /// Returns how often more than a heartbeat changed.
+    /// Returns the number of changes of entries other than heartbeats.
     pub fn changes(&self) -> u64 {
         self.changes
     }
--- a/crates/trestlerack/src/process/relay_choice.rs
+++ b/crates/trestlerack/src/process/relay_choice.rs
@@ -1,36 +1,37 @@
-//! Chooses the peers that are to relay a store call.
+//! Selects the peers that are asked to relay a store call.
 
 use crate::hash::hash_parts;
 use crate::{Name, Timestamp};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Peers that are asked to relay one call. Where the store refuses a third of all nodes, three of
-/// them fail for one call in 27, and the call after a good one begins with the peer that relayed it.
-const TRIES: usize = 3;
+/// Maximum number of peers that are asked to relay one call. If the store refuses a third of all nodes, all
+/// three fail for one call in 27. After a success the next call starts with the peer that relayed it.
+const MAX_RELAY_TRIES: usize = 3;
 
-/// Time for which a peer that could not relay a call is passed over.
-const FAILED_PAUSE: Duration = Duration::from_secs(1);
+/// Time for which a peer that failed to relay a call is skipped.
+const FAILED_RELAY_PAUSE: Duration = Duration::from_secs(1);
 
-/// What a node knows of its peers as relays.
+/// Selects relays among the peers of a node, by their recent successes and failures.
 #[derive(Debug)]
 pub struct RelaySelector {
-    turn: u64,
-    /// Peers that could not relay a call, until the given time.
+    rotation: u64,
+    /// Peers that failed to relay a call, and the time until which they are skipped.
     failed: BTreeMap<Name, Timestamp>,
-    /// The peer that relayed the last call.
-    relay: Option<Name>,
+    /// The peer that relayed a call last, unless it has failed since.
+    last_relay: Option<Name>,
 }
 
 impl RelaySelector {
-    /// Starts at a turn of this node's own, so that nodes that start together do not all turn to
-    /// the same peers.
+    /// Builds a selector whose rotation starts at a hash of the node's own address, so that nodes that
+    /// start at the same time do not all ask the same peers.
     pub fn new(own_address: &str) -> Self {
-        Self { turn: hash_parts(&[own_address]) >> 1, failed: BTreeMap::new(), relay: None }
+        Self { rotation: hash_parts(&[own_address]) >> 1, failed: BTreeMap::new(), last_relay: None }
     }
 
-    /// Returns the peers to ask, in turn: the one that relayed the last call, and others with each
-    /// call, so that one that is down costs one try.
+    /// Returns the peers to ask, in order. The one that relayed a call last comes first, and the others
+    /// rotate with each call, so that a peer that is down costs a single try. Peers that failed recently
+    /// are skipped unless all have.
     pub fn pick(&mut self, now: Timestamp, mut addresses: Vec<Name>) -> Vec<Name> {
         self.failed.retain(|_, until| *until > now);
         if addresses.iter().any(|address| !self.failed.contains_key(address)) {
@@ -39,24 +40,24 @@
         if addresses.is_empty() {
             return addresses;
         }
-        let first = self.turn % addresses.len() as u64;
-        self.turn += 1;
+        let first = self.rotation % addresses.len() as u64;
+        self.rotation += 1;
         addresses.rotate_left(first as usize);
-        if let Some(place) = addresses.iter().position(|address| Some(address) == self.relay.as_ref()) {
-            addresses.swap(0, place);
+        if let Some(index) = addresses.iter().position(|address| Some(address) == self.last_relay.as_ref()) {
+            addresses.swap(0, index);
         }
-        addresses.truncate(TRIES);
+        addresses.truncate(MAX_RELAY_TRIES);
         addresses
     }
 
     /// Records that a peer relayed a call.
-    pub fn relayed(&mut self, peer: &Name) {
-        self.relay = Some(peer.clone());
+    pub fn record_success(&mut self, peer: &Name) {
+        self.last_relay = Some(peer.clone());
     }
 
-    /// Records that a peer could not relay a call.
-    pub fn failed(&mut self, now: Timestamp, peer: &Name) {
-        self.failed.insert(peer.clone(), now + FAILED_PAUSE);
-        self.relay.take_if(|relay| relay == peer);
+    /// Records that a peer failed to relay a call.
+    pub fn record_failure(&mut self, now: Timestamp, peer: &Name) {
+        self.failed.insert(peer.clone(), now + FAILED_RELAY_PAUSE);
+        self.last_relay.take_if(|relay| relay == peer);
     }
 }
--- a/crates/trestlerack/src/process/settings.rs
+++ b/crates/trestlerack/src/process/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the daemon, checked whole before anything starts.
+//! Settings of the daemon, which are validated completely before anything starts.
 
 use crate::Name;
 use crate::request::ChoicePolicy;
@@ -13,9 +13,9 @@
     pub name: Name,
     /// Availability zone of the VM.
     pub zone: Name,
-    /// Address on which callers, operators and probes are served.
+    /// Listen address for callers, operators and health probes.
     pub listen: Name,
-    /// Address on which peers are served.
+    /// Listen address for peers.
     pub link_listen: Name,
     /// Address of the table service.
     pub table: Name,
@@ -23,60 +23,60 @@
     pub objects: Name,
     /// Address of the membership list.
     pub membership: Name,
-    /// File with the callers' keys.
+    /// File with the callers' API keys.
     pub caller_keys_file: String,
-    /// File with the operators' key.
+    /// File with the operators' API key.
     pub operator_key_file: String,
     /// File with the key that peers share.
     pub link_key_file: String,
-    /// File to which the bound addresses are written, for port 0.
+    /// File to which the bound addresses are written, for listeners with port 0; empty for none.
     pub address_file: String,
-    /// Log level.
+    /// Least severe level that is logged.
     pub log_level: Name,
-    /// Address of an OTLP collector; empty for none.
+    /// URL of an OTLP collector for spans; empty for none.
     pub otlp_endpoint: String,
-    /// Folder in which decisions are recorded; empty for none.
+    /// Directory for traces of decisions, which can be replayed; empty for none.
     pub trace_dir: String,
-    /// Longest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Time to read a request's header, in milliseconds.
+    /// Timeout for reading a request's header, in milliseconds.
     pub header_timeout_ms: u64,
-    /// Time to read a request's body, in milliseconds.
+    /// Timeout for reading a request's body, in milliseconds.
     pub body_timeout_ms: u64,
-    /// Connections served at once.
+    /// Maximum number of concurrent connections.
     pub max_connections: usize,
-    /// Deadline of a call that states none, in milliseconds.
+    /// Deadline of a call that does not set one, in milliseconds.
     pub default_deadline_ms: u64,
-    /// Interval between two probes of peers, in milliseconds.
+    /// Interval between probes of peers, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Time a suspected peer may stay silent, in milliseconds.
+    /// Time after which a suspected peer counts as dead, in milliseconds.
     pub suspicion_ms: u64,
     /// Interval at which the table is polled for open steps, in milliseconds.
     pub poll_ms: u64,
-    /// Time for which a renewal of a lease holds, in milliseconds.
+    /// Time for which a renewal of a lease is valid, in milliseconds.
     pub lease_ttl_ms: u64,
-    /// Time that an order to an engine may take, in milliseconds.
+    /// Maximum time of an order to an engine, in milliseconds.
     pub order_timeout_ms: u64,
-    /// Longest time a planned stop waits for requests in progress, in milliseconds.
+    /// Maximum time that a planned stop waits for requests in progress, in milliseconds.
     pub stop_limit_ms: u64,
-    /// Samples that this node makes at once.
+    /// Maximum number of samples that this node generates concurrently.
     pub max_samples: usize,
-    /// Calls that wait for one model's engines on this node.
+    /// Maximum number of calls that wait for one model's engines on this node.
     pub max_queue: usize,
-    /// Bytes of made groups held while the store is down.
+    /// Maximum size of the generated groups that are held while the store is down, in bytes.
     pub spool_bytes: usize,
-    /// How engines and their owners are chosen.
+    /// Policy by which engines and their owners are chosen.
     pub policy_choice: Name,
-    /// Whether a call whose projected wait is past its deadline is refused at once.
+    /// Whether a call that is projected to miss its deadline is refused at once.
     pub policy_admission: bool,
-    /// Whether stragglers are hedged.
+    /// Whether stragglers are hedged, that is, sent to a second engine.
     pub policy_hedging: bool,
-    /// Whether engines load new weights beside the old ones before they switch.
+    /// Whether engines load new weights beside the old ones before they switch to them.
     pub policy_staged_swap: bool,
 }
 
 impl DaemonSettings {
-    /// Returns how engines and their owners are chosen.
+    /// Returns the policy by which engines and their owners are chosen.
     pub fn choice_policy(&self) -> ChoicePolicy {
         match self.policy_choice.as_ref() {
             "random" => ChoicePolicy::Random,
@@ -87,7 +87,7 @@
     }
 }
 
-/// Load relative to the mean up to which a prefix keeps to its engine.
+/// Load of an engine, relative to the mean, up to which calls with the same prefix stay on it.
 const AFFINITY_BOUND: f64 = 1.25;
 
 impl Default for DaemonSettings {
@@ -139,27 +139,27 @@
     FieldSpec { name, kind, default: Some(default), meaning }
 }
 
-const fn span(name: &'static str, default: &'static str, meaning: &'static str) -> FieldSpec {
+const fn duration_ms(name: &'static str, default: &'static str, meaning: &'static str) -> FieldSpec {
     optional(name, FieldKind::Count { min: 1, max: HOUR_MS }, default, meaning)
 }
 
-const fn size(name: &'static str, max: u64, default: &'static str, meaning: &'static str) -> FieldSpec {
+const fn positive_count(name: &'static str, max: u64, default: &'static str, meaning: &'static str) -> FieldSpec {
     optional(name, FieldKind::Count { min: 1, max }, default, meaning)
 }
 
-/// The fields of the settings file, also the source of docs/SETTINGS.md.
+/// The fields of the settings file, from which `docs/SETTINGS.md` is generated as well.
 pub const SETTINGS_FIELDS: &[FieldSpec] = &[
     required("name", FieldKind::Text, "Name of the VM; unique."),
     required("zone", FieldKind::Text, "Availability zone of the VM."),
-    optional("listen", FieldKind::Address, "127.0.0.1:0", "Address for callers, operators and probes."),
-    optional("link_listen", FieldKind::Address, "127.0.0.1:0", "Address for peers."),
+    optional("listen", FieldKind::Address, "127.0.0.1:0", "Listen address for callers, operators and health probes."),
+    optional("link_listen", FieldKind::Address, "127.0.0.1:0", "Listen address for peers."),
     required("table", FieldKind::Address, "Address of the table service."),
     required("objects", FieldKind::Address, "Address of the object store."),
     required("membership", FieldKind::Address, "Address of the membership list."),
-    required("caller_keys_file", FieldKind::Text, "File with the callers' keys: a JSON object from key to user."),
-    required("operator_key_file", FieldKind::Text, "File with the operators' key."),
+    required("caller_keys_file", FieldKind::Text, "File with the callers' API keys: a JSON object from key to user."),
+    required("operator_key_file", FieldKind::Text, "File with the operators' API key."),
     required("link_key_file", FieldKind::Text, "File with the key that peers share."),
-    optional("address_file", FieldKind::Text, "", "File to which the bound addresses are written."),
+    optional("address_file", FieldKind::Text, "", "File to which the bound addresses are written; none if left out."),
     optional(
         "log_level",
         FieldKind::Choice(&["error", "warn", "info", "debug", "trace"]),
@@ -167,48 +167,63 @@
         "Least severe level that is logged.",
     ),
     optional("otlp_endpoint", FieldKind::Text, "", "URL of an OTLP collector for spans; none if left out."),
-    optional("trace_dir", FieldKind::Text, "", "Folder in which decisions are recorded for replay; none if left out."),
-    size("max_body_bytes", 1 << 30, "8388608", "Longest request body, in bytes."),
-    span("header_timeout_ms", "5000", "Time to read a request's header."),
-    span("body_timeout_ms", "20000", "Time to read a request's body."),
-    size("max_connections", 1_000_000, "4096", "Connections served at once."),
-    span("default_deadline_ms", "60000", "Deadline of a call that states none."),
-    span("heartbeat_ms", "500", "Interval between two probes of peers."),
-    span("suspicion_ms", "2000", "Time that a suspected peer may stay silent."),
-    span("poll_ms", "2000", "Interval at which the table is polled."),
-    span("lease_ttl_ms", "6000", "Time for which a renewal of a lease holds."),
-    span("order_timeout_ms", "3000", "Time that an order to an engine may take."),
-    span("stop_limit_ms", "60000", "Longest time that a planned stop waits for requests in progress."),
-    size("max_samples", 1_000_000, "256", "Samples that this node makes at once."),
-    size("max_queue", 1_000_000, "4096", "Calls that wait for one model's engines on this node."),
-    size("spool_bytes", 1 << 32, "8388608", "Bytes of made groups held while the store is down."),
+    optional(
+        "trace_dir",
+        FieldKind::Text,
+        "",
+        "Directory for traces of decisions, which can be replayed; none if left out.",
+    ),
+    positive_count("max_body_bytes", 1 << 30, "8388608", "Maximum size of a request body, in bytes."),
+    duration_ms("header_timeout_ms", "5000", "Timeout for reading a request's header."),
+    duration_ms("body_timeout_ms", "20000", "Timeout for reading a request's body."),
+    positive_count("max_connections", 1_000_000, "4096", "Maximum number of concurrent connections."),
+    duration_ms("default_deadline_ms", "60000", "Deadline of a call that does not set one."),
+    duration_ms("heartbeat_ms", "500", "Interval between probes of peers."),
+    duration_ms("suspicion_ms", "2000", "Time after which a suspected peer counts as dead."),
+    duration_ms("poll_ms", "2000", "Interval at which the table is polled for open steps."),
+    duration_ms("lease_ttl_ms", "6000", "Time for which a renewal of a lease is valid."),
+    duration_ms("order_timeout_ms", "3000", "Maximum time of an order to an engine."),
+    duration_ms("stop_limit_ms", "60000", "Maximum time that a planned stop waits for requests in progress."),
+    positive_count("max_samples", 1_000_000, "256", "Maximum number of samples that this node generates concurrently."),
+    positive_count(
+        "max_queue",
+        1_000_000,
+        "4096",
+        "Maximum number of calls that wait for one model's engines on this node.",
+    ),
+    positive_count(
+        "spool_bytes",
+        1 << 32,
+        "8388608",
+        "Maximum size of the generated groups that are held while the store is down, in bytes.",
+    ),
     optional(
         "policy_choice",
         FieldKind::Choice(&["prefix-affinity", "random", "least-in-flight", "two-choices"]),
         "prefix-affinity",
-        "How engines and their owners are chosen; the others are baselines for measurements.",
+        "Policy by which engines and their owners are chosen; those other than the default are baselines for measurements.",
     ),
     optional(
         "policy_admission",
         FieldKind::Flag,
         "true",
-        "Whether a call that cannot be whole in time is refused at once.",
+        "Whether a call that is projected to miss its deadline is refused at once.",
     ),
     optional(
         "policy_hedging",
         FieldKind::Flag,
         "false",
-        "Whether stragglers are hedged; measured not to pay where lengths are heavy-tailed.",
+        "Whether stragglers are hedged, that is, sent to a second engine; this does not pay off if response lengths are heavy-tailed.",
     ),
     optional(
         "policy_staged_swap",
         FieldKind::Flag,
         "true",
-        "Whether engines load weights beside the old ones and then switch.",
+        "Whether engines load new weights beside the old ones before they switch to them.",
     ),
 ];
 
-/// Parses a settings file and reports every fault of it at once.
+/// Parses a settings file. All errors of the file are reported together.
 pub fn parse_settings(file: &str, text: &str) -> Result<DaemonSettings, Vec<DocumentFault>> {
     let document = check_document(file, text, SETTINGS_FIELDS)?;
     DaemonSettings::deserialize(document.value()).map_err(|error| vec![document.fault("document", error.to_string())])
--- a/crates/trestlerack/src/process/spool.rs
+++ b/crates/trestlerack/src/process/spool.rs
@@ -1,4 +1,4 @@
-//! Holds made groups while the store is down and drains them afterwards at a set rate.
+//! Holds generated groups while the store is down and drains them afterwards at a limited rate.
 
 use crate::Timestamp;
 use std::collections::VecDeque;
@@ -7,17 +7,17 @@
 /// Settings of a [`SampleSpool`].
 #[derive(Clone, Debug)]
 pub struct SpoolSettings {
-    /// Bytes held at most.
+    /// Maximum number of bytes held.
     pub max_bytes: usize,
-    /// Shortest time between two groups while draining.
+    /// Minimum time between two groups while draining.
     pub drain_interval: Duration,
-    /// Time between two groups for each live node, so that all nodes together keep to one rate that
-    /// the store can take, however many of them there are.
+    /// Time between two groups per live node, so that all nodes together keep to one rate that the store
+    /// can take, however many nodes there are.
     pub drain_interval_per_node: Duration,
-    /// Wait after a write that failed; it doubles up to `max_wait`.
-    pub first_wait: Duration,
-    /// Longest wait between two tries.
-    pub max_wait: Duration,
+    /// Wait after the first failed write; it doubles with each further one, up to `max_backoff`.
+    pub first_backoff: Duration,
+    /// Maximum backoff after a failed write.
+    pub max_backoff: Duration,
 }
 
 impl Default for SpoolSettings {
@@ -26,31 +26,31 @@
             max_bytes: 8 * 1024 * 1024,
             drain_interval: Duration::from_millis(50),
             drain_interval_per_node: Duration::from_millis(5),
-            first_wait: Duration::from_millis(250),
-            max_wait: Duration::from_secs(5),
+            first_backoff: Duration::from_millis(250),
+            max_backoff: Duration::from_secs(5),
         }
     }
 }
 
-/// A bounded first-in first-out spool of groups that wait for the store.
+/// A bounded first-in, first-out queue of groups that wait for the store.
 #[derive(Clone, Debug)]
 pub struct SampleSpool<T> {
     settings: SpoolSettings,
     waiting: VecDeque<(T, usize)>,
     bytes: usize,
     next_try: Timestamp,
-    wait: Duration,
+    backoff: Duration,
 }
 
 impl<T> SampleSpool<T> {
     /// Builds an empty spool.
     pub fn new(settings: SpoolSettings) -> Self {
-        let wait = settings.first_wait;
-        Self { settings, waiting: VecDeque::new(), bytes: 0, next_try: Timestamp::default(), wait }
+        let backoff = settings.first_backoff;
+        Self { settings, waiting: VecDeque::new(), bytes: 0, next_try: Timestamp::default(), backoff }
     }
 
-    /// Takes a group of `size` bytes in, or gives it back if the spool is full.
-    pub fn offer(&mut self, group: T, size: usize) -> Result<(), T> {
+    /// Adds a group of `size` bytes, or returns it as the error if the spool is full.
+    pub fn try_push(&mut self, group: T, size: usize) -> Result<(), T> {
         if self.bytes + size > self.settings.max_bytes {
             return Err(group);
         }
@@ -59,24 +59,25 @@
         Ok(())
     }
 
-    /// Returns whether there is room for `size` bytes, so that work is not begun in vain.
-    pub fn has_room(&self, size: usize) -> bool {
+    /// Returns whether there is space for `size` bytes, to be checked before a group is generated.
+    pub fn has_space(&self, size: usize) -> bool {
         self.bytes + size <= self.settings.max_bytes
     }
 
-    /// Returns the groups that wait.
+    /// Returns the number of waiting groups.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Returns whether nothing waits.
+    /// Returns whether no group waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Takes out the next group to try, if it is time; report back with `stored` or `failed`.
+    /// Takes out the next group to write and its size, if the drain rate and the backoff allow one at
+    /// `now`. The outcome is to be reported with [`Self::record_success`] or [`Self::record_failure`].
     ///
-    /// `nodes` is how many nodes may be draining at the same time.
+    /// `nodes` is the number of nodes that may be draining at the same time.
     pub fn next(&mut self, now: Timestamp, nodes: usize) -> Option<(T, usize)> {
         if now < self.next_try {
             return None;
@@ -89,19 +90,19 @@
         Some(entry)
     }
 
-    /// Records that the store took a group.
-    pub fn stored(&mut self) {
-        self.wait = self.settings.first_wait;
+    /// Records that the store accepted a group, which resets the backoff.
+    pub fn record_success(&mut self) {
+        self.backoff = self.settings.first_backoff;
     }
 
-    /// Puts back a group that the store did not take, at the front, and waits.
+    /// Puts a group that the store did not accept back to the front, and backs off.
     ///
-    /// It is taken back even past the bound: dropping a made group would be worse than a spool
-    /// that is one group over its size.
-    pub fn failed(&mut self, now: Timestamp, group: T, size: usize) {
+    /// The group is put back even if the spool is full by now: dropping a generated group would be worse
+    /// than exceeding the bound by one group.
+    pub fn record_failure(&mut self, now: Timestamp, group: T, size: usize) {
         self.bytes += size;
         self.waiting.push_front((group, size));
-        self.next_try = now + self.wait;
-        self.wait = (self.wait * 2).min(self.settings.max_wait);
+        self.next_try = now + self.backoff;
+        self.backoff = (self.backoff * 2).min(self.settings.max_backoff);
     }
 }
--- a/crates/trestlerack/src/process/step.rs
+++ b/crates/trestlerack/src/process/step.rs
@@ -1,19 +1,19 @@
-//! Steps in the table: what is open, what was made, and when a step may be sealed.
+//! Rows of training steps and their sample groups, and the decision when a step may be sealed.
 
 use crate::Name;
 use crate::version::{SampleAge, StalenessRule, WeightVersion};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How far a step is.
+/// Progress of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum StepState {
-    /// Its samples are being made.
+    /// Its samples are being generated.
     Open,
-    /// Its samples are named once and for all; the trainer may read them.
+    /// Its samples are fixed, and the trainer may read them.
     Sealed,
-    /// The trainer has them.
+    /// The trainer has acknowledged that it has them.
     Acknowledged,
 }
 
@@ -31,20 +31,20 @@
 /// The groups that a trainer submits for one step.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepSubmission {
-    /// Trainer's version at the step that consumes the samples.
+    /// Weight version of the trainer at the step that consumes the samples.
     pub consume_version: WeightVersion,
     /// The groups.
     pub groups: Vec<GroupSpec>,
 }
 
-/// Characters that a group's key may use, since it becomes part of table and object keys.
+/// Returns whether a group's key may contain a character; the key becomes part of table and object keys.
 fn is_key_character(character: char) -> bool {
     character.is_ascii_alphanumeric() || matches!(character, '-' | '_' | '.')
 }
 
 impl StepSubmission {
-    /// Returns what is wrong with the submission, or `None`.
-    pub fn fault(&self) -> Option<String> {
+    /// Returns what is wrong with the submission, or `None` if it is valid.
+    pub fn validation_error(&self) -> Option<String> {
         if self.groups.is_empty() {
             return Some("groups: expected at least one".into());
         }
@@ -54,7 +54,7 @@
                 return Some(format!("groups[{index}].group: expected letters, digits, - _ or ."));
             }
             if !seen.insert(&group.group) {
-                return Some(format!("groups[{index}].group: {} stands twice", group.group));
+                return Some(format!("groups[{index}].group: duplicate key {}", group.group));
             }
             if group.size == 0 || group.size > MAX_GROUP_SIZE {
                 return Some(format!("groups[{index}].size: expected 1 to {MAX_GROUP_SIZE}"));
@@ -64,10 +64,10 @@
     }
 }
 
-/// Samples in one group at most.
+/// Maximum number of samples in one group.
 const MAX_GROUP_SIZE: usize = 1_024;
 
-/// A sealed group: the one object that holds its samples.
+/// A group of a sealed step, with the one object that holds its samples.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SealedGroup {
     /// Key of the group within the step.
@@ -87,23 +87,24 @@
     pub campaign: Name,
     /// Number of the step within the campaign.
     pub step: u64,
-    /// How far it is.
+    /// Progress of the step.
     pub state: StepState,
-    /// Trainer's version at the step that consumes the samples.
+    /// Weight version of the trainer at the step that consumes the samples.
     pub consume_version: WeightVersion,
     /// Digest of the submission; a repeated submission must have the same one.
     pub digest: Name,
     /// Key of the object that holds the submitted groups.
     pub manifest: Name,
-    /// How many groups were submitted.
+    /// Number of submitted groups.
     pub groups: usize,
     /// The sealed groups, in the order of submission; empty while the step is open.
     pub sealed: Vec<SealedGroup>,
-    /// Id of the operation that wrote the row last, for settling a lost answer.
+    /// Id of the operation that wrote the row last, which tells after a lost response whether the write
+    /// took effect.
     pub operation: Name,
 }
 
-/// The row of a made group. The first writer wins; only sealing makes it part of a step.
+/// The row of a generated group. The first writer wins, and only sealing makes the group part of a step.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupRow {
     /// Key of the group within the step.
@@ -114,7 +115,7 @@
     pub oldest_version: WeightVersion,
     /// Wall clock second of the group's first token.
     pub first_unix: u64,
-    /// Id of the operation that wrote the row.
+    /// Id of the operation that wrote the row, which tells whose write took effect.
     pub operation: Name,
 }
 
@@ -123,8 +124,8 @@
     format!("step/{campaign}/{step:012}")
 }
 
-/// Returns the key of the row that stands while a step is open, so that nodes can find it.
-pub fn open_key(campaign: &str, step: u64) -> String {
+/// Returns the key of the row that exists while a step is open, by which nodes find open steps.
+pub fn open_step_key(campaign: &str, step: u64) -> String {
     format!("open/{campaign}/{step:012}")
 }
 
@@ -138,24 +139,26 @@
     format!("{}{group}", group_prefix(campaign, step))
 }
 
-/// What to do with an open step.
+/// What can be done with an open step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SealDecision {
-    /// Every group is made and fresh enough: write this row on condition that it has not changed.
+    /// Every group is generated and fresh enough: write this row on condition that the step's row has not
+    /// changed.
     Seal(StepRow),
-    /// These groups are missing and should be made.
+    /// These groups are missing and are to be generated.
     Missing(Vec<Name>),
-    /// These groups are made and too old: remove their rows and make them again.
+    /// These groups are generated but too old: remove their rows and generate them again.
     TooOld(Vec<Name>),
 }
 
-/// Decides whether an open step can be sealed at `unix_now` from the rows of its groups.
+/// Decides whether an open step can be sealed at the Unix second `unix_now`.
 ///
-/// `submitted` lists the groups in the order of submission.
+/// `submitted` has the groups' keys in the order of submission, and `generated` the rows of the groups that
+/// were generated so far.
 pub fn decide_seal(
     row: &StepRow,
     submitted: &[Name],
-    made: &BTreeMap<Name, GroupRow>,
+    generated: &BTreeMap<Name, GroupRow>,
     rule: StalenessRule,
     unix_now: u64,
 ) -> SealDecision {
@@ -164,15 +167,15 @@
         seconds: unix_now.saturating_sub(group.first_unix),
     };
     let too_old: Vec<Name> =
-        made.values().filter(|group| !rule.accepts(age_of(group))).map(|group| group.group.clone()).collect();
+        generated.values().filter(|group| !rule.accepts(age_of(group))).map(|group| group.group.clone()).collect();
     if !too_old.is_empty() {
         return SealDecision::TooOld(too_old);
     }
-    let missing: Vec<Name> = submitted.iter().filter(|group| !made.contains_key(*group)).cloned().collect();
+    let missing: Vec<Name> = submitted.iter().filter(|group| !generated.contains_key(*group)).cloned().collect();
     if !missing.is_empty() {
         return SealDecision::Missing(missing);
     }
-    let sealed = submitted.iter().map(|group| sealed_group(&made[group])).collect();
+    let sealed = submitted.iter().map(|group| sealed_group(&generated[group])).collect();
     SealDecision::Seal(StepRow { state: StepState::Sealed, sealed, ..row.clone() })
 }
 
--- a/crates/trestlerack/src/process/step_store.rs
+++ b/crates/trestlerack/src/process/step_store.rs
@@ -1,10 +1,10 @@
-//! Steps and groups in the platform's stores: opened, recorded, sealed and acknowledged once.
+//! Stores steps and their groups, so that each is opened, recorded, sealed and acknowledged exactly once.
 //!
-//! Every write is a compare-and-set, and a lost answer is settled by reading back under the
-//! operation's own id ([docs/DESIGN.md](../../../../docs/DESIGN.md#exactly-once)).
+//! Every write is a compare-and-set. After a lost response the row is read back, and the operation id in it
+//! tells whether the write took effect ([docs/DESIGN.md](../../../../docs/DESIGN.md#exactly-once)).
 
 use super::step::{
-    GroupRow, SealDecision, StepRow, StepState, StepSubmission, decide_seal, group_key, group_prefix, open_key,
+    GroupRow, SealDecision, StepRow, StepState, StepSubmission, decide_seal, group_key, group_prefix, open_step_key,
     step_key,
 };
 use crate::Name;
@@ -16,20 +16,20 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex};
 
-/// Tries at a write whose answer is lost again and again, or that others get in the way of.
-const WRITE_TRIES: usize = 8;
+/// Maximum number of tries of a write whose response is lost or that conflicts with other writes.
+const MAX_WRITE_TRIES: usize = 8;
 
-/// Rows read in one scan.
+/// Maximum number of rows that one scan reads.
 const SCAN_LIMIT: usize = 1_000;
 
-/// A made group on its way to the store.
+/// A generated group that is to be stored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GeneratedGroup {
-    /// Campaign.
+    /// Campaign of the step.
     pub campaign: Name,
-    /// Step.
+    /// Number of the step within the campaign.
     pub step: u64,
-    /// Key of the group.
+    /// Key of the group within the step.
     pub group: Name,
     /// Samples as JSON lines.
     pub lines: String,
@@ -47,49 +47,49 @@
         group_key(&self.campaign, self.step, &self.group)
     }
 
-    /// Returns about how many bytes the group holds in memory.
+    /// Returns the approximate number of bytes that the group takes in memory.
     pub fn size(&self) -> usize {
         self.lines.len() + std::mem::size_of::<Self>()
     }
 }
 
-/// How recording a group ended.
+/// Outcome of recording a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Recorded {
-    /// This group's row stands.
-    Ours,
+pub enum RecordOutcome {
+    /// The row of this group was stored, now or by an earlier try.
+    Stored,
     /// Another node's row stood first.
     Superseded,
 }
 
 /// How opening a step ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Opened {
+pub enum OpenOutcome {
     /// The step is new.
-    New,
-    /// The same groups were submitted before; the step is in this state.
-    Again(StepState),
-    /// Other groups were submitted before for this step.
+    Created,
+    /// The same groups were submitted before, and the step is in this state.
+    Existing(StepState),
+    /// Different groups were submitted for this step before.
     Conflict,
 }
 
-/// What a look at an open step led to.
+/// Outcome of an attempt to seal a step.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SealOutcome {
     /// The step is not open.
-    Closed,
-    /// The step was sealed by this look.
+    NotOpen,
+    /// This attempt sealed the step.
     Sealed(StepRow),
-    /// These groups are missing and should be made.
+    /// Groups are missing and are to be generated.
     Missing {
         /// The step.
         row: StepRow,
-        /// The submitted groups.
+        /// The submission, with all groups of the step.
         submission: Arc<StepSubmission>,
         /// Keys of the missing groups.
         missing: Vec<Name>,
     },
-    /// These groups were too old and their rows were removed, so that they are made again.
+    /// Groups were too old. Their rows were removed, so that they are generated again.
     Removed {
         /// The step.
         row: StepRow,
@@ -98,29 +98,29 @@
     },
 }
 
-/// Submitted groups of open steps by manifest; they never change, so they are read once.
+/// Submissions of open steps by manifest key. A submission never changes, so each is read once.
 #[derive(Debug, Default)]
 pub struct ManifestCache {
-    held: Mutex<HashMap<Name, Arc<StepSubmission>>>,
+    submissions: Mutex<HashMap<Name, Arc<StepSubmission>>>,
 }
 
 impl ManifestCache {
     fn get(&self, manifest: &str) -> Option<Arc<StepSubmission>> {
-        self.held.lock().unwrap().get(manifest).cloned()
+        self.submissions.lock().unwrap().get(manifest).cloned()
     }
 
-    fn keep(&self, manifest: &Name, submission: StepSubmission) -> Arc<StepSubmission> {
+    fn insert(&self, manifest: &Name, submission: StepSubmission) -> Arc<StepSubmission> {
         let submission = Arc::new(submission);
-        self.held.lock().unwrap().insert(manifest.clone(), submission.clone());
+        self.submissions.lock().unwrap().insert(manifest.clone(), submission.clone());
         submission
     }
 
-    fn forget(&self, manifest: &str) {
-        self.held.lock().unwrap().remove(manifest);
+    fn remove(&self, manifest: &str) {
+        self.submissions.lock().unwrap().remove(manifest);
     }
 }
 
-/// Steps and groups in the table service and the object store.
+/// Access to the steps and groups in the table service and the object store.
 #[derive(Clone, Copy)]
 pub struct StepStore<'a> {
     table: &'a dyn TableStore,
@@ -133,14 +133,16 @@
         Self { table, objects }
     }
 
-    /// Opens a step. A repeated submission finds its own row, whichever node it came through first.
+    /// Opens a step. A repeated submission finds the existing row, whichever node wrote it.
+    ///
+    /// Fails with [`StoreError::Unknown`] if the step may have been opened.
     pub async fn open(
         &self,
         campaign: &Name,
         step: u64,
         submission: &StepSubmission,
         operation: Name,
-    ) -> Result<Opened, StoreError> {
+    ) -> Result<OpenOutcome, StoreError> {
         let content = encode(submission);
         let digest: Name = digest_hex(&content).into();
         let manifest: Name = format!("manifests/{campaign}/{step:012}/{digest}").into();
@@ -160,17 +162,17 @@
         let transaction = TableTransaction::default()
             .expect(&key, Expectation::Absent)
             .put(&key, to_value(&row))
-            .put(open_key(campaign, step), serde_json::json!({ "step": step }));
+            .put(open_step_key(campaign, step), serde_json::json!({ "step": step }));
         match self.table.commit(transaction).await {
-            Ok(CommitOutcome::Committed) => return Ok(Opened::New),
+            Ok(CommitOutcome::Committed) => return Ok(OpenOutcome::Created),
             Ok(CommitOutcome::Conflict) | Err(StoreError::Unknown) => {}
             Err(error) => return Err(error),
         }
-        let Some((_, held)) = self.read(campaign, step).await? else { return Err(StoreError::Unknown) };
-        if held.operation == row.operation {
-            return Ok(Opened::New);
+        let Some((_, existing)) = self.read(campaign, step).await? else { return Err(StoreError::Unknown) };
+        if existing.operation == row.operation {
+            return Ok(OpenOutcome::Created);
         }
-        Ok(if held.digest == row.digest { Opened::Again(held.state) } else { Opened::Conflict })
+        Ok(if existing.digest == row.digest { OpenOutcome::Existing(existing.state) } else { OpenOutcome::Conflict })
     }
 
     /// Reads a step.
@@ -185,8 +187,9 @@
         Ok(rows.iter().filter_map(|row| row.value.get("step")?.as_u64()).collect())
     }
 
-    /// Records a group once. Repeating it is harmless, also when an earlier answer was lost.
-    pub async fn record(&self, group: &GeneratedGroup) -> Result<Recorded, StoreError> {
+    /// Records a group unless one is recorded already. It is idempotent, so it may be repeated after a
+    /// lost response.
+    pub async fn record(&self, group: &GeneratedGroup) -> Result<RecordOutcome, StoreError> {
         let content = group.lines.clone().into_bytes();
         let object: Name = format!("samples/{}/{:012}/{}", group.campaign, group.step, digest_hex(&content)).into();
         self.objects.put(&object, content).await?;
@@ -198,25 +201,26 @@
             operation: group.operation.clone(),
         };
         let key = group.key();
-        for _ in 0..WRITE_TRIES {
+        for _ in 0..MAX_WRITE_TRIES {
             let transaction = TableTransaction::default().expect(&key, Expectation::Absent).put(&key, to_value(&row));
             match self.table.commit(transaction).await {
-                Ok(CommitOutcome::Committed) => return Ok(Recorded::Ours),
+                Ok(CommitOutcome::Committed) => return Ok(RecordOutcome::Stored),
                 Ok(CommitOutcome::Conflict) | Err(StoreError::Unknown) => {}
                 Err(error) => return Err(error),
             }
-            // The row, and nothing else, tells whose write stands.
-            if let Some(held) = self.table.read(&key).await? {
-                let (_, held): (TableRow, GroupRow) = decode_row(held)?;
-                let is_ours = held.operation == group.operation;
-                return Ok(if is_ours { Recorded::Ours } else { Recorded::Superseded });
+            // Only the row tells whose write took effect.
+            if let Some(existing) = self.table.read(&key).await? {
+                let (_, existing): (TableRow, GroupRow) = decode_row(existing)?;
+                let is_own = existing.operation == group.operation;
+                return Ok(if is_own { RecordOutcome::Stored } else { RecordOutcome::Superseded });
             }
         }
         Err(StoreError::Unknown)
     }
 
-    /// Looks at an open step: seals it, removes what is too old, or tells what is missing.
-    pub async fn look(
+    /// Seals an open step if all groups are there and fresh. Otherwise removes the groups that are too old,
+    /// or returns those that are missing.
+    pub async fn try_seal(
         &self,
         campaign: &str,
         step: u64,
@@ -225,40 +229,41 @@
         operation: Name,
         manifests: &ManifestCache,
     ) -> Result<SealOutcome, StoreError> {
-        let Some((held, row)) = self.read(campaign, step).await? else { return Ok(SealOutcome::Closed) };
+        let Some((current, row)) = self.read(campaign, step).await? else { return Ok(SealOutcome::NotOpen) };
         if row.state != StepState::Open {
-            return Ok(SealOutcome::Closed);
+            return Ok(SealOutcome::NotOpen);
         }
         let submission = self.submission(&row.manifest, manifests).await?;
-        let made = self.read_groups(campaign, step).await?;
+        let generated = self.read_groups(campaign, step).await?;
         let submitted: Vec<Name> = submission.groups.iter().map(|group| group.group.clone()).collect();
-        let rows = made.iter().map(|(name, (_, group))| (name.clone(), group.clone())).collect();
+        let rows = generated.iter().map(|(name, (_, group))| (name.clone(), group.clone())).collect();
         match decide_seal(&row, &submitted, &rows, rule, unix_now) {
             SealDecision::Seal(sealed) => {
-                let look = self.seal(&held, StepRow { operation, ..sealed }).await?;
-                manifests.forget(&row.manifest);
-                Ok(look)
+                let outcome = self.seal(&current, StepRow { operation, ..sealed }).await?;
+                manifests.remove(&row.manifest);
+                Ok(outcome)
             }
             SealDecision::Missing(missing) => Ok(SealOutcome::Missing { row, submission, missing }),
             SealDecision::TooOld(groups) => {
-                let removed = self.remove(&groups, &made).await?;
+                let removed = self.remove(&groups, &generated).await?;
                 Ok(SealOutcome::Removed { row, removed })
             }
         }
     }
 
-    /// Records that the trainer has a step; returns the row as it then stands.
+    /// Records that the trainer has a sealed step. Returns the step's row after that, or `None` if there is
+    /// no such step.
     pub async fn acknowledge(&self, campaign: &str, step: u64, operation: Name) -> Result<Option<StepRow>, StoreError> {
-        for _ in 0..WRITE_TRIES {
-            let Some((held, row)) = self.read(campaign, step).await? else { return Ok(None) };
+        for _ in 0..MAX_WRITE_TRIES {
+            let Some((current, row)) = self.read(campaign, step).await? else { return Ok(None) };
             if row.state != StepState::Sealed {
                 return Ok(Some(row));
             }
             let next = StepRow { state: StepState::Acknowledged, operation: operation.clone(), ..row };
             let transaction = TableTransaction::default()
-                .expect(&held.key, TableTransaction::expectation_of(Some(&held)))
-                .put(&held.key, to_value(&next));
-            // Conflicts and lost answers are settled by reading back in the next round.
+                .expect(&current.key, TableTransaction::expectation_of(Some(&current)))
+                .put(&current.key, to_value(&next));
+            // After a conflict or a lost response, the next try reads the row again.
             match self.table.commit(transaction).await {
                 Ok(CommitOutcome::Committed) => return Ok(Some(next)),
                 Ok(CommitOutcome::Conflict) | Err(StoreError::Unknown) => {}
@@ -269,12 +274,12 @@
     }
 
     async fn submission(&self, manifest: &Name, cache: &ManifestCache) -> Result<Arc<StepSubmission>, StoreError> {
-        if let Some(held) = cache.get(manifest) {
-            return Ok(held);
+        if let Some(cached) = cache.get(manifest) {
+            return Ok(cached);
         }
         let content = self.objects.get(manifest).await?.ok_or(StoreError::Unavailable)?;
         let submission = serde_json::from_slice(&content).map_err(|_| StoreError::Unavailable)?;
-        Ok(cache.keep(manifest, submission))
+        Ok(cache.insert(manifest, submission))
     }
 
     async fn read_groups(&self, campaign: &str, step: u64) -> Result<BTreeMap<Name, (TableRow, GroupRow)>, StoreError> {
@@ -295,27 +300,27 @@
         }
     }
 
-    /// Seals a step: one transaction that names its samples once and for all. A lost answer needs
-    /// no settling here, since the next look finds the step closed or seals it.
-    async fn seal(&self, held: &TableRow, sealed: StepRow) -> Result<SealOutcome, StoreError> {
+    /// Seals a step in one transaction, which fixes its samples for good. A lost response need not be
+    /// resolved here, because the next attempt finds the step sealed or seals it.
+    async fn seal(&self, current: &TableRow, sealed: StepRow) -> Result<SealOutcome, StoreError> {
         let transaction = TableTransaction::default()
-            .expect(&held.key, TableTransaction::expectation_of(Some(held)))
-            .put(&held.key, to_value(&sealed))
-            .remove(open_key(&sealed.campaign, sealed.step));
+            .expect(&current.key, TableTransaction::expectation_of(Some(current)))
+            .put(&current.key, to_value(&sealed))
+            .remove(open_step_key(&sealed.campaign, sealed.step));
         match self.table.commit(transaction).await? {
             CommitOutcome::Committed => Ok(SealOutcome::Sealed(sealed)),
-            CommitOutcome::Conflict => Ok(SealOutcome::Closed),
+            CommitOutcome::Conflict => Ok(SealOutcome::NotOpen),
         }
     }
 
     async fn remove(
         &self,
         groups: &[Name],
-        made: &BTreeMap<Name, (TableRow, GroupRow)>,
+        generated: &BTreeMap<Name, (TableRow, GroupRow)>,
     ) -> Result<Vec<Name>, StoreError> {
         let mut removed = Vec::new();
         for group in groups {
-            let (row, _) = &made[group];
+            let (row, _) = &generated[group];
             let transaction = TableTransaction::default()
                 .expect(&row.key, TableTransaction::expectation_of(Some(row)))
                 .remove(&row.key);
@@ -328,11 +333,11 @@
 }
 
 fn encode(value: &impl Serialize) -> Vec<u8> {
-    serde_json::to_vec(value).expect("rows and manifests always encode")
+    serde_json::to_vec(value).expect("rows and manifests can be encoded")
 }
 
 fn to_value(value: &impl Serialize) -> serde_json::Value {
-    serde_json::to_value(value).expect("rows always encode")
+    serde_json::to_value(value).expect("rows can be encoded")
 }
 
 fn decode_row<T: DeserializeOwned>(row: TableRow) -> Result<(TableRow, T), StoreError> {
--- a/crates/trestlerack/src/trace.rs
+++ b/crates/trestlerack/src/trace.rs
@@ -175,7 +175,7 @@
                 vec![LeaseAnswer::Fence(self.order_fence(at, checks_fencing))]
             }
             LeaseEvent::Written(row) => {
-                self.written(at, row);
+                self.record_write(at, row);
                 Vec::new()
             }
         };
--- a/crates/trestlerack/tests/claims.rs
+++ b/crates/trestlerack/tests/claims.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use std::sync::Mutex;
-use support::{FakeStore, FaultPlan, SOUND, Scheduler, UNSOUND, count_failures, for_seeds, pause};
+use support::{FakeStore, FaultPlan, SOUND, Scheduler, UNSOUND, count_failures, for_seeds, yield_now};
 use trestlerack::request::{ClaimDecision, ClaimState, ClaimStore, claim_key};
 use trestlerack::{Name, Verdict};
 
@@ -28,14 +28,14 @@
         ClaimDecision::Refuse(failure) => return outside.lock().unwrap().verdicts.push(failure.verdict),
         ClaimDecision::Claim => panic!("the store turns a claim into a send or a refusal"),
     }
-    pause().await;
+    yield_now().await;
     // One in four calls finds the service closed: nothing was sent.
     if number.is_multiple_of(4) {
         claims.finish(&key, &attempt, ClaimState::after_failure(Verdict::NotRun)).await;
         return outside.lock().unwrap().verdicts.push(Verdict::NotRun);
     }
     outside.lock().unwrap().runs += 1;
-    pause().await;
+    yield_now().await;
     let body = format!("run by {number}");
     let state = ClaimState::Answered { status: 200, content_type: "text/plain".into(), body: body.clone() };
     claims.finish(&key, &attempt, state).await;
--- a/crates/trestlerack/tests/job_owners.rs
+++ b/crates/trestlerack/tests/job_owners.rs
@@ -1,4 +1,4 @@
-//! Which node drives a job.
+//! Choice of the node that owns a batch job, and of its successors.
 
 use trestlerack::Name;
 use trestlerack::process::{OwnerCandidate, choose_job_owner, successor_rank};
@@ -7,51 +7,55 @@
     OwnerCandidate { name: name.into(), capacity, models }
 }
 
-fn chosen(model: &str, own: &str, newest: Option<&str>, candidates: &[OwnerCandidate]) -> String {
+fn owner_of(model: &str, own: &str, newest: Option<&str>, candidates: &[OwnerCandidate]) -> String {
     choose_job_owner(model, own, newest, candidates).unwrap().name.to_string()
 }
 
 #[test]
-fn a_small_node_hands_a_job_to_a_large_one() {
+fn a_job_that_a_small_node_accepts_is_owned_by_a_large_one() {
     let nodes = [candidate("small", 120, 0), candidate("large", 500, 0)];
-    assert_eq!(chosen("m", "small", None, &nodes), "large");
-    assert_eq!(chosen("m", "small", Some("small"), &nodes), "large", "with the next job of the model");
+    assert_eq!(owner_of("m", "small", None, &nodes), "large");
+    assert_eq!(
+        owner_of("m", "small", Some("small"), &nodes),
+        "large",
+        "a large node takes over with the next job of the model"
+    );
 }
 
 #[test]
-fn the_owner_of_the_newest_job_goes_on_and_one_that_is_gone_does_not() {
+fn the_owner_of_the_newest_job_of_a_model_is_kept_unless_it_is_gone() {
     let nodes = [candidate("a", 500, 3), candidate("b", 500, 0)];
-    assert_eq!(chosen("m", "b", Some("a"), &nodes), "a");
-    assert_eq!(chosen("m", "b", Some("gone"), &nodes), "b");
+    assert_eq!(owner_of("m", "b", Some("a"), &nodes), "a");
+    assert_eq!(owner_of("m", "b", Some("gone"), &nodes), "b");
 }
 
 #[test]
-fn nodes_that_are_alike_keep_what_they_accept_until_they_drive_another_model() {
+fn among_equal_nodes_the_acceptor_owns_the_job_until_it_drives_another_model() {
     let nodes = [candidate("a", 500, 0), candidate("b", 500, 0)];
-    assert_eq!(chosen("m", "a", None, &nodes), "a");
-    assert_eq!(chosen("m", "b", None, &nodes), "b");
+    assert_eq!(owner_of("m", "a", None, &nodes), "a");
+    assert_eq!(owner_of("m", "b", None, &nodes), "b");
     let nodes = [candidate("a", 500, 1), candidate("b", 500, 0)];
-    assert_eq!(chosen("m", "a", None, &nodes), "b");
+    assert_eq!(owner_of("m", "a", None, &nodes), "b");
 }
 
-/// The first jobs of six models come at one moment to nodes that know nothing of each other's.
+/// The first jobs of six models arrive at the same time at nodes that do not know of each other's choices.
 #[test]
-fn small_nodes_that_choose_at_the_same_moment_take_different_owners() {
+fn small_nodes_that_choose_at_the_same_time_choose_different_owners() {
     let mut nodes: Vec<OwnerCandidate> = (0..63).map(|node| candidate(&format!("large-{node}"), 500, 0)).collect();
     nodes.extend((0..232).map(|node| candidate(&format!("small-{node}"), 120, 0)));
     let owners: std::collections::BTreeSet<String> =
-        (0..6).map(|model| chosen(&format!("m{model}"), &format!("small-{model}"), None, &nodes)).collect();
+        (0..6).map(|model| owner_of(&format!("m{model}"), &format!("small-{model}"), None, &nodes)).collect();
     assert!(owners.len() >= 5, "{owners:?}");
     assert!(owners.iter().all(|owner| owner.starts_with("large")), "{owners:?}");
 }
 
 #[test]
-fn the_line_of_successors_has_each_node_once_and_large_ones_first() {
+fn the_order_of_successors_has_each_node_once_and_large_nodes_first() {
     let nodes: Vec<(Name, u32)> =
         (0..20).map(|node| (format!("node-{node}").into(), if node % 4 == 0 { 500 } else { 120 })).collect();
-    let mut line: Vec<(usize, u32)> =
+    let mut order: Vec<(usize, u32)> =
         nodes.iter().map(|(name, capacity)| (successor_rank("job", (name, *capacity), &nodes), *capacity)).collect();
-    line.sort();
-    assert!(line.iter().enumerate().all(|(place, (rank, _))| place == *rank), "{line:?}");
-    assert!(line[..5].iter().all(|(_, capacity)| *capacity == 500), "{line:?}");
+    order.sort();
+    assert!(order.iter().enumerate().all(|(index, (rank, _))| index == *rank), "{order:?}");
+    assert!(order[..5].iter().all(|(_, capacity)| *capacity == 500), "{order:?}");
 }
--- a/crates/trestlerack/tests/leases.rs
+++ b/crates/trestlerack/tests/leases.rs
@@ -108,7 +108,7 @@
         self.row = Some((version, row.clone()));
         // If the answer is lost, the node cannot know that it holds the lease and must not act on it.
         if !is_lost {
-            holder.keeper.written(local, row);
+            holder.keeper.record_write(local, row);
         }
     }
 
@@ -166,7 +166,7 @@
 fn an_expired_lease_grants_no_fencing_token() {
     let mut keeper = LeaseKeeper::new(LeaseSettings::default(), "node".into(), 1);
     let LeaseAction::Write(row) = keeper.decide(Timestamp(0), None) else { panic!("the lease is free") };
-    keeper.written(Timestamp(0), row);
+    keeper.record_write(Timestamp(0), row);
     assert_eq!(keeper.fence(Timestamp(5_999)), Some(1));
     assert_eq!(keeper.fence(Timestamp(6_000)), None);
 }
@@ -180,13 +180,13 @@
     let mut first = LeaseKeeper::new(settings.clone(), "first".into(), 1);
     let mut second = LeaseKeeper::new(settings, "second".into(), 1);
     let LeaseAction::Write(first_row) = first.decide(Timestamp(0), None) else { panic!("it is free") };
-    first.written(Timestamp(0), first_row.clone());
+    first.record_write(Timestamp(0), first_row.clone());
     assert_eq!(second.decide(Timestamp(0), Some((1, first_row.clone()))), LeaseAction::Wait);
     let later = Timestamp(0) + expiry;
     let LeaseAction::Write(second_row) = second.decide(later, Some((1, first_row.clone()))) else {
         panic!("it has expired")
     };
-    second.written(later, second_row.clone());
+    second.record_write(later, second_row.clone());
     let mut stopping = first.clone();
     assert_eq!(stopping.release(Some(&second_row)), None);
     let released = first.release(Some(&first_row)).expect("its own row is still there");
--- a/crates/trestlerack/tests/limits.rs
+++ b/crates/trestlerack/tests/limits.rs
@@ -98,16 +98,16 @@
         let (mut offered, mut stored) = (Vec::new(), Vec::new());
         for step in 0..2_000_u64 {
             let now = Timestamp(step * 20);
-            if step < 300 && spool.offer(step, 10).is_ok() {
+            if step < 300 && spool.try_push(step, 10).is_ok() {
                 offered.push(step);
             }
             assert!(spool.len() <= 11);
             let Some((group, size)) = spool.next(now, 1) else { continue };
             let is_down = step < 1_000 && random.random_ratio(3, 4);
             if is_down {
-                spool.failed(now, group, size);
+                spool.record_failure(now, group, size);
             } else {
-                spool.stored();
+                spool.record_success();
                 stored.push(group);
             }
         }
@@ -122,7 +122,7 @@
         for _ in 0..nodes {
             let mut spool = SampleSpool::new(SpoolSettings::default());
             for group in 0..1_000 {
-                spool.offer(group, 1).unwrap();
+                spool.try_push(group, 1).unwrap();
             }
             drained += (0..10_000).step_by(10).filter(|at| spool.next(Timestamp(*at), nodes).is_some()).count();
         }
--- a/crates/trestlerack/tests/node_rows.rs
+++ b/crates/trestlerack/tests/node_rows.rs
@@ -1,4 +1,4 @@
-//! Which rows of nodes tell of a restart.
+//! Detection of node restarts from registration rows that may be out of date or out of order.
 
 use trestlerack::Name;
 use trestlerack::process::{NodeRow, NodeRows};
@@ -7,10 +7,10 @@
     Some(NodeRow { address: "127.0.0.1:1".into(), incarnation, capacity: 500, zone: "z".into() })
 }
 
-/// A node registers as incarnation 2 and writes the lease at version 20. A peer whose watch lags
-/// still knows incarnation 1, and must not take the lease for that of a process that ended.
+/// A node registers as incarnation 2 and writes the lease at version 20. A peer whose watch lags still has
+/// the row of incarnation 1, and must not conclude that the lease belongs to a process that has ended.
 #[test]
-fn an_old_row_does_not_make_the_writer_of_a_newer_one_look_restarted() {
+fn an_outdated_registration_does_not_make_the_lease_holder_look_restarted() {
     let name: Name = "a".into();
     let mut rows = NodeRows::default();
     rows.put(&name, 5, row(1));
@@ -20,18 +20,18 @@
 }
 
 #[test]
-fn a_newer_registration_tells_of_a_restart() {
+fn a_newer_registration_with_another_incarnation_shows_a_restart() {
     let name: Name = "a".into();
     let mut rows = NodeRows::default();
     rows.put(&name, 5, row(1));
     assert!(!rows.is_restarted("a", 1, 9));
     rows.put(&name, 12, row(2));
     assert!(rows.is_restarted("a", 1, 9));
-    assert!(!rows.is_restarted("b", 1, 9), "of a node without a row nothing is known");
+    assert!(!rows.is_restarted("b", 1, 9), "a node without a row is not known to have restarted");
 }
 
 #[test]
-fn rows_that_arrive_out_of_order_leave_the_newest() {
+fn the_newest_row_is_kept_if_rows_arrive_out_of_order() {
     let name: Name = "a".into();
     let mut rows = NodeRows::default();
     rows.put(&name, 12, row(2));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_row_whose_removal_was_missed_is_forgotten_and_a_newer_one_is_not() {
+fn a_row_whose_removal_was_missed_is_dropped_and_a_newer_row_is_kept() {
     let mut rows = NodeRows::default();
     for (name, version) in [("a", 5), ("b", 6), ("c", 20)] {
         rows.put(&name.into(), version, row(1));
--- a/crates/trestlerack/tests/placement.rs
+++ b/crates/trestlerack/tests/placement.rs
@@ -213,13 +213,13 @@
 fn an_entry_that_lapsed_during_an_outage_is_believed_for_a_while() {
     let mut registry = registry(&[entry("a", "z", 1), entry("b", "z", 1)]);
     registry.store_lost();
-    registry.store_returned(NOW);
+    registry.store_regained(NOW);
     assert!(!registry.remove(NOW, "a"));
     assert!(!registry.remove(NOW, "b"));
     assert!(registry.get("a").is_some());
     // One registers again in time, the other one is gone.
     registry.put(entry("b", "z", 1));
-    let limit = NOW + RegistrySettings::default().return_time;
+    let limit = NOW + RegistrySettings::default().reregistration_time;
     assert_eq!(registry.expire(limit), ["a".into()]);
     assert!(registry.get("a").is_none() && registry.get("b").is_some());
     assert!(registry.remove(limit, "b"), "long after an outage a removal counts at once");
@@ -249,11 +249,11 @@
 fn an_entry_that_was_written_over_names_no_server_even_after_an_outage() {
     let mut registry = registry(&[entry("a", "z", 1), entry("b", "z", 1)]);
     registry.store_lost();
-    registry.store_returned(NOW);
+    registry.store_regained(NOW);
     assert!(!registry.remove(NOW, "a"), "believed for a while");
-    assert!(registry.refuse("a") && registry.refuse("b") && !registry.refuse("c"));
+    assert!(registry.remove_invalid("a") && registry.remove_invalid("b") && !registry.remove_invalid("c"));
     assert_eq!(registry.entries().count(), 0);
-    assert!(registry.expire(NOW + RegistrySettings::default().return_time).is_empty());
+    assert!(registry.expire(NOW + RegistrySettings::default().reregistration_time).is_empty());
 }
 
 #[test]
--- a/crates/trestlerack/tests/store_rates.rs
+++ b/crates/trestlerack/tests/store_rates.rs
@@ -1,4 +1,5 @@
-//! Nodes and a store that refuses what is beyond its rates: no refusal becomes a storm.
+//! Retries against a store that refuses calls beyond its rate limits: they do not become a retry storm, and
+//! refusals are not mistaken for an outage.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -6,47 +7,47 @@
 use trestlerack::border::StoreError;
 use trestlerack::process::{DirectWay, NODE_PARTITIONS, WayChange, node_partition, rate_pause};
 
-/// Transactions that a partition takes a second; one second of them may wait.
+/// Transactions per second that a partition accepts; it queues up to one second of them.
 const PARTITION_RATE: usize = 150;
 
-/// A step of the model.
+/// Time step of the simulation.
 const STEP: Duration = Duration::from_millis(10);
 
-/// A seeded sequence of numbers from 0 to 1.
-struct Numbers(u64);
+/// A seeded sequence of pseudorandom numbers from 0 to 1.
+struct SeededNumbers(u64);
 
-impl Numbers {
+impl SeededNumbers {
     fn next(&mut self) -> f64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 11) as f64 / (1_u64 << 53) as f64
     }
 }
 
-/// What came of a start of all nodes.
+/// Result of a simulated start of all nodes.
 struct StartOutcome {
     took: Duration,
     refused: usize,
 }
 
-/// Starts `nodes` at once. Each writes its row until the store takes it; what the store refuses
-/// takes its place in the rate as well.
-fn start_together(nodes: usize, seed: u64, partition_of: impl Fn(&str) -> String) -> StartOutcome {
-    let mut numbers = Numbers(seed);
-    let mut due: Vec<(Duration, u32, String)> = (0..nodes)
+/// Starts `nodes` at the same time. Each writes its row until the store accepts it. A refused write still
+/// uses up a part of the rate.
+fn simulate_start(nodes: usize, seed: u64, partition_of: impl Fn(&str) -> String) -> StartOutcome {
+    let mut numbers = SeededNumbers(seed);
+    let mut pending: Vec<(Duration, u32, String)> = (0..nodes)
         .map(|node| (STEP.mul_f64(numbers.next() * 30.0), 0, partition_of(&format!("edge-{node}"))))
         .collect();
-    let mut waiting: BTreeMap<String, f64> = BTreeMap::new();
+    let mut queues: BTreeMap<String, f64> = BTreeMap::new();
     let (mut now, mut refused) = (Duration::ZERO, 0);
-    while !due.is_empty() {
-        assert!(now < Duration::from_secs(60), "{} of {nodes} nodes are not registered", due.len());
-        for queue in waiting.values_mut() {
+    while !pending.is_empty() {
+        assert!(now < Duration::from_secs(60), "{} of {nodes} nodes are not registered", pending.len());
+        for queue in queues.values_mut() {
             *queue = (*queue - PARTITION_RATE as f64 * STEP.as_secs_f64()).max(0.0);
         }
-        due.retain_mut(|(at, failures, partition)| {
+        pending.retain_mut(|(at, failures, partition)| {
             if *at > now {
                 return true;
             }
-            let queue = waiting.entry(partition.clone()).or_default();
+            let queue = queues.entry(partition.clone()).or_default();
             if *queue < PARTITION_RATE as f64 {
                 *queue += 1.0;
                 return false;
@@ -63,23 +64,23 @@
 }
 
 #[test]
-fn up_to_a_thousand_nodes_that_start_at_once_are_registered_within_two_seconds() {
+fn up_to_a_thousand_nodes_that_start_at_the_same_time_are_registered_within_two_seconds() {
     for nodes in [3, 13, 84, 295, 370, 1_000] {
         for seed in 0..20 {
-            let outcome = start_together(nodes, seed, |name| node_partition(name).to_string());
+            let outcome = simulate_start(nodes, seed, |name| node_partition(name).to_string());
             assert!(outcome.took <= Duration::from_secs(2), "{nodes} nodes took {:?}", outcome.took);
             assert!(outcome.refused * 20 <= nodes, "{} refusals of {nodes} nodes", outcome.refused);
         }
     }
 }
 
-/// The same where all rows lie in one partition, as others of the system's rows do: slower, and
-/// refused more often, but it ends.
+/// If all rows are in one partition, as other rows of the system are, the start takes longer and has more
+/// refusals, but it ends.
 #[test]
-fn one_partition_that_all_nodes_write_recovers_by_the_growing_pauses() {
+fn one_partition_that_all_nodes_write_recovers_thanks_to_growing_backoffs() {
     for nodes in [295, 370, 1_000] {
         for seed in 0..20 {
-            let outcome = start_together(nodes, seed, |_| "one".into());
+            let outcome = simulate_start(nodes, seed, |_| "one".into());
             assert!(outcome.took <= Duration::from_secs(20), "{nodes} nodes took {:?}", outcome.took);
             assert!(outcome.refused <= nodes * 4, "{} refusals of {nodes} nodes", outcome.refused);
         }
@@ -97,69 +98,69 @@
 }
 
 #[test]
-fn pauses_after_refusals_grow_to_a_bound_and_differ_between_nodes() {
-    let pauses: Vec<Duration> = (1..10).map(|refusals| rate_pause(refusals, 0.5)).collect();
-    assert!(pauses.windows(2).all(|pair| pair[0] <= pair[1]), "{pauses:?}");
-    assert_eq!((pauses[0], pauses[8]), (Duration::from_millis(500), Duration::from_secs(4)));
+fn backoffs_after_refusals_grow_to_a_limit_and_differ_between_nodes() {
+    let backoffs: Vec<Duration> = (1..10).map(|refusals| rate_pause(refusals, 0.5)).collect();
+    assert!(backoffs.windows(2).all(|pair| pair[0] <= pair[1]), "{backoffs:?}");
+    assert_eq!((backoffs[0], backoffs[8]), (Duration::from_millis(500), Duration::from_secs(4)));
     let spread: BTreeSet<Duration> = (0..10).map(|step| rate_pause(3, f64::from(step) / 10.0)).collect();
     assert_eq!(spread.len(), 10);
 }
 
 const NOW: Timestamp = Timestamp(1_000_000);
 
-fn refused(way: &mut DirectWay, times: u64, apart_ms: u64) -> Vec<Option<WayChange>> {
+fn record_refusals(access: &mut DirectWay, times: u64, interval_ms: u64) -> Vec<Option<WayChange>> {
     let note = |call| {
-        let now = NOW + Duration::from_millis(call * apart_ms);
-        way.note(now, now, Some(StoreError::RateLimited))
+        let now = NOW + Duration::from_millis(call * interval_ms);
+        access.note(now, now, Some(StoreError::RateLimited))
     };
     (0..times).map(note).collect()
 }
 
 #[test]
-fn refusals_for_a_rate_among_answers_never_put_the_way_in_doubt() {
-    let mut way = DirectWay::default();
+fn rate_limit_refusals_among_answers_never_divert_calls_to_peers() {
+    let mut access = DirectWay::default();
     for call in 0..1_000 {
         let answered = call % 4 == 3;
         let failure = (!answered).then_some(StoreError::RateLimited);
         let now = NOW + Duration::from_millis(call * 200);
-        assert_eq!(way.note(now, now, failure), None);
+        assert_eq!(access.note(now, now, failure), None);
     }
-    assert!(!way.is_doubtful());
+    assert!(!access.is_doubtful());
 }
 
 #[test]
-fn a_burst_of_refusals_is_one_sign_and_no_outage() {
-    let mut way = DirectWay::default();
-    assert!(refused(&mut way, 100, 1).iter().all(Option::is_none));
+fn a_burst_of_refusals_is_not_an_outage() {
+    let mut access = DirectWay::default();
+    assert!(record_refusals(&mut access, 100, 1).iter().all(Option::is_none));
 }
 
-/// Every call of this node is refused for a while, which no rate of the store does.
+/// Every call of this node is refused for a while, which a rate limit of the store would not do.
 #[test]
-fn a_node_whose_every_call_is_refused_goes_through_peers_until_a_call_is_answered() {
-    let mut way = DirectWay::default();
-    let changes = refused(&mut way, 8, 150);
+fn a_node_whose_every_call_is_refused_uses_peers_until_a_call_is_answered() {
+    let mut access = DirectWay::default();
+    let changes = record_refusals(&mut access, 8, 150);
     assert_eq!(changes.iter().flatten().collect::<Vec<_>>(), [&WayChange::Lost]);
-    assert!(way.is_doubtful());
-    assert_eq!(way.note(NOW, NOW + Duration::from_secs(9), None), Some(WayChange::Regained));
-    assert!(!way.is_doubtful());
+    assert!(access.is_doubtful());
+    assert_eq!(access.note(NOW, NOW + Duration::from_secs(9), None), Some(WayChange::Regained));
+    assert!(!access.is_doubtful());
 }
 
 #[test]
-fn an_outage_puts_the_way_in_doubt_at_once() {
+fn an_outage_diverts_calls_to_peers_at_once() {
     for error in [StoreError::Unavailable, StoreError::Unknown] {
         assert_eq!(DirectWay::default().note(NOW, NOW, Some(error)), Some(WayChange::Lost));
     }
 }
 
-/// A partition that has many transactions to carry out answers one of them late, and the store answers other
-/// calls meanwhile. A call that is sent after the last answer and gets none shows that the way is shut.
+/// A partition with many queued transactions answers one of them too late, while the store answers other
+/// calls. Only an unanswered call that was sent after the last answer shows that the store is unreachable.
 #[test]
-fn a_late_partition_is_not_a_lost_store() {
+fn a_slow_partition_is_not_an_outage_of_the_store() {
     let at = |ms| NOW + Duration::from_millis(ms);
-    let mut way = DirectWay::default();
-    assert_eq!(way.note(at(500), at(504), None), None);
-    assert_eq!(way.note(at(0), at(600), Some(StoreError::Unknown)), None);
-    assert!(!way.is_doubtful());
-    assert_eq!(way.note(at(505), at(1_105), Some(StoreError::Unknown)), Some(WayChange::Lost));
-    assert_eq!(way.note(at(1_200), at(1_204), None), Some(WayChange::Regained));
+    let mut access = DirectWay::default();
+    assert_eq!(access.note(at(500), at(504), None), None);
+    assert_eq!(access.note(at(0), at(600), Some(StoreError::Unknown)), None);
+    assert!(!access.is_doubtful());
+    assert_eq!(access.note(at(505), at(1_105), Some(StoreError::Unknown)), Some(WayChange::Lost));
+    assert_eq!(access.note(at(1_200), at(1_204), None), Some(WayChange::Regained));
 }
--- a/crates/trestlerack/tests/support/mod.rs
+++ b/crates/trestlerack/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Fakes at the interfaces: a store that fails by a seed, and a scheduler that interleaves tasks
-//! and kills them at any point.
+//! Test doubles: a store with seeded faults, and a scheduler that interleaves tasks and kills them at any
+//! point.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -12,20 +12,23 @@
 use std::task::{Context, Poll, Waker};
 use trestlerack::border::{CommitOutcome, ObjectStore, StoreError, TableRow, TableStore, TableTransaction};
 
-/// Runs a property over many seeds; the same ones in every run.
+/// Checks a property for many seeds, which are the same in every run.
 pub fn for_seeds(iterations: usize, check: impl Fn(u64) + std::panic::RefUnwindSafe) {
     bolero::check!().with_type::<u64>().cloned().with_iterations(iterations).for_each(check);
 }
 
-/// How often a fake store fails, in percent of its calls.
+/// Faults of a fake store.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultPlan {
+    /// Percentage of calls that fail.
     pub percent: u32,
-    /// Applies writes whatever the preconditions say, as no sound store does.
+    /// Whether writes are applied even if their preconditions do not hold, which a correct store never does.
     pub ignores_preconditions: bool,
 }
 
+/// A correct store with frequent faults.
 pub const SOUND: FaultPlan = FaultPlan { percent: 25, ignores_preconditions: false };
+/// An incorrect store, to show that a checker detects one.
 pub const UNSOUND: FaultPlan = FaultPlan { percent: 25, ignores_preconditions: true };
 
 struct State {
@@ -34,20 +37,21 @@
     rows: BTreeMap<String, TableRow>,
     objects: BTreeMap<String, Vec<u8>>,
     last_version: u64,
-    /// Writes that the store will apply later, although their answer is lost already.
+    /// Transactions that the store will apply later, although the caller was told that their outcome is
+    /// unknown.
     delayed: Vec<TableTransaction>,
 }
 
-/// A table service and object store in memory.
+/// An in-memory table service and object store.
 pub struct FakeStore {
     state: Mutex<State>,
 }
 
 enum Fault {
     None,
-    Refused,
-    LostAfter,
-    LostBefore,
+    Rejected,
+    ResponseLost,
+    RequestLost,
     Delayed,
 }
 
@@ -65,7 +69,7 @@
         Self { state: Mutex::new(state) }
     }
 
-    /// Ends all faults and applies what was delayed.
+    /// Ends all faults and applies the delayed transactions.
     pub fn heal(&self) {
         let mut state = self.state.lock().unwrap();
         state.plan.percent = 0;
@@ -82,14 +86,14 @@
 }
 
 impl State {
-    fn fault(&mut self) -> Fault {
+    fn draw_fault(&mut self) -> Fault {
         if !self.random.random_ratio(self.plan.percent, 100) {
             return Fault::None;
         }
         match self.random.random_range(0..4) {
-            0 => Fault::Refused,
-            1 => Fault::LostAfter,
-            2 => Fault::LostBefore,
+            0 => Fault::Rejected,
+            1 => Fault::ResponseLost,
+            2 => Fault::RequestLost,
             _ => Fault::Delayed,
         }
     }
@@ -121,20 +125,20 @@
 #[async_trait]
 impl TableStore for FakeStore {
     async fn read(&self, key: &str) -> Result<Option<TableRow>, StoreError> {
-        pause().await;
+        yield_now().await;
         let mut state = self.state.lock().unwrap();
         state.apply_some_delayed();
-        match state.fault() {
+        match state.draw_fault() {
             Fault::None => Ok(state.rows.get(key).cloned()),
             _ => Err(StoreError::Unavailable),
         }
     }
 
     async fn scan(&self, prefix: &str, after: &str, limit: usize) -> Result<Vec<TableRow>, StoreError> {
-        pause().await;
+        yield_now().await;
         let mut state = self.state.lock().unwrap();
         state.apply_some_delayed();
-        match state.fault() {
+        match state.draw_fault() {
             Fault::None => {
                 let found = state.rows.values().filter(|row| row.key.starts_with(prefix) && row.key.as_str() > after);
                 Ok(found.take(limit).cloned().collect())
@@ -144,15 +148,15 @@
     }
 
     async fn commit(&self, transaction: TableTransaction) -> Result<CommitOutcome, StoreError> {
-        pause().await;
+        yield_now().await;
         let outcome = {
             let mut state = self.state.lock().unwrap();
             state.apply_some_delayed();
-            match state.fault() {
+            match state.draw_fault() {
                 Fault::None => Ok(state.apply(transaction)),
-                Fault::Refused => Err(StoreError::Unavailable),
-                Fault::LostBefore => Err(StoreError::Unknown),
-                Fault::LostAfter => {
+                Fault::Rejected => Err(StoreError::Unavailable),
+                Fault::RequestLost => Err(StoreError::Unknown),
+                Fault::ResponseLost => {
                     state.apply(transaction);
                     Err(StoreError::Unknown)
                 }
@@ -162,8 +166,8 @@
                 }
             }
         };
-        // The answer takes its time too, so a task can be killed after the write took effect.
-        pause().await;
+        // The response takes time as well, so a task can be killed after its write took effect.
+        yield_now().await;
         outcome
     }
 }
@@ -171,11 +175,11 @@
 #[async_trait]
 impl ObjectStore for FakeStore {
     async fn put(&self, key: &str, content: Vec<u8>) -> Result<(), StoreError> {
-        pause().await;
+        yield_now().await;
         let mut state = self.state.lock().unwrap();
-        match state.fault() {
-            Fault::Refused => return Err(StoreError::Unavailable),
-            Fault::LostBefore => return Err(StoreError::Unknown),
+        match state.draw_fault() {
+            Fault::Rejected => return Err(StoreError::Unavailable),
+            Fault::RequestLost => return Err(StoreError::Unknown),
             _ => {}
         }
         state.objects.insert(key.to_owned(), content);
@@ -183,33 +187,33 @@
     }
 
     async fn get(&self, key: &str) -> Result<Option<Vec<u8>>, StoreError> {
-        pause().await;
+        yield_now().await;
         let mut state = self.state.lock().unwrap();
-        match state.fault() {
+        match state.draw_fault() {
             Fault::None => Ok(state.objects.get(key).cloned()),
             _ => Err(StoreError::Unavailable),
         }
     }
 }
 
-/// Lets the scheduler choose another task.
-pub async fn pause() {
+/// Yields once to the scheduler, which may then run another task.
+pub async fn yield_now() {
     let mut is_first = true;
     std::future::poll_fn(|_| if std::mem::take(&mut is_first) { Poll::Pending } else { Poll::Ready(()) }).await;
 }
 
 type Task<'a> = Pin<Box<dyn Future<Output = ()> + 'a>>;
 
-/// Polls tasks in an order drawn from a seed and kills some of them on the way.
+/// Polls tasks in a seeded random order and kills some of them before they end.
 pub struct Scheduler<'a> {
     random: Pcg64Mcg,
     tasks: Vec<Task<'a>>,
-    kill_percent: u32,
+    kill_permille: u32,
 }
 
 impl<'a> Scheduler<'a> {
-    pub fn new(seed: u64, kill_percent: u32) -> Self {
-        Self { random: Pcg64Mcg::seed_from_u64(seed ^ 0x5eed), tasks: Vec::new(), kill_percent }
+    pub fn new(seed: u64, kill_permille: u32) -> Self {
+        Self { random: Pcg64Mcg::seed_from_u64(seed ^ 0x5eed), tasks: Vec::new(), kill_permille }
     }
 
     pub fn spawn(&mut self, task: impl Future<Output = ()> + 'a) {
@@ -221,7 +225,7 @@
         let mut context = Context::from_waker(Waker::noop());
         while !self.tasks.is_empty() {
             let index = self.random.random_range(0..self.tasks.len());
-            let is_killed = self.random.random_ratio(self.kill_percent, 1_000);
+            let is_killed = self.random.random_ratio(self.kill_permille, 1_000);
             if is_killed || self.tasks[index].as_mut().poll(&mut context).is_ready() {
                 drop(self.tasks.swap_remove(index));
             }
@@ -229,7 +233,7 @@
     }
 }
 
-/// Runs one task to its end.
+/// Polls one task until it ends.
 pub fn block_on<T>(task: impl Future<Output = T>) -> T {
     let mut task = Box::pin(task);
     let mut context = Context::from_waker(Waker::noop());
@@ -240,7 +244,7 @@
     }
 }
 
-/// Returns how many of `seeds` make `check` panic, for checkers that must be able to fail.
+/// Returns the number of seeds below `seeds` for which `check` panics, to test that a checker can fail.
 pub fn count_failures(seeds: u64, check: impl Fn(u64) + std::panic::RefUnwindSafe) -> usize {
     let hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(|_| {}));
--- a/crates/trestlerack/tests/suspensions.rs
+++ b/crates/trestlerack/tests/suspensions.rs
@@ -48,7 +48,7 @@
     let settings = LeaseSettings { ttl: ms(1_500), margin: ms(300), order_time: Duration::ZERO };
     let mut keeper = LeaseKeeper::new(settings, "a".into(), 1);
     let LeaseAction::Write(row) = keeper.decide(Timestamp(10_000), None) else { panic!("the lease is free") };
-    keeper.written(Timestamp(10_000), LeaseRow { ..row });
+    keeper.record_write(Timestamp(10_000), LeaseRow { ..row });
     assert_eq!(keeper.fence(Timestamp(10_100)), Some(1));
     // Five seconds pass of which a monotonic clock would show none.
     assert_eq!(keeper.fence(Timestamp(15_100)), None);
--- a/crates/trestlerackd/src/entry/feeds.rs
+++ b/crates/trestlerackd/src/entry/feeds.rs
@@ -52,7 +52,7 @@
                     node.suspects.set_cut_off(false);
                     node.end_news.lock().unwrap().taken_in(asked_at);
                 }
-                node.registry.lock().unwrap().store_returned(node.now());
+                node.registry.lock().unwrap().store_regained(node.now());
                 if version.is_none() {
                     logs::write(event::HISTORY_LOST, &[("table", &table)]);
                 }
--- a/crates/trestlerackd/src/entry/order_lease.rs
+++ b/crates/trestlerackd/src/entry/order_lease.rs
@@ -171,7 +171,7 @@
             desk.failures = 0;
             desk.free_since = None;
             if is_written {
-                desk.keeper.written(now, row);
+                desk.keeper.record_write(now, row);
             }
         }
         // A holder goes on trying at the usual pace, because its lease runs out meanwhile.
--- a/crates/trestlerackd/src/entry/peers.rs
+++ b/crates/trestlerackd/src/entry/peers.rs
@@ -205,7 +205,7 @@
     pub async fn relay(&self, peer: &Name, call: &StoreCall, limit: Duration) -> Result<StoreReply, StoreError> {
         let error = match self.ask(peer, &PeerCall::Relay(call.clone()), limit).await {
             Some(PeerReply::Relayed(reply)) => {
-                self.relays.lock().unwrap().relayed(peer);
+                self.relays.lock().unwrap().record_success(peer);
                 return Ok(reply);
             }
             Some(PeerReply::RateLimited) => return Err(StoreError::RateLimited),
@@ -213,7 +213,7 @@
             // A peer that does not answer may still have passed the call on.
             _ => StoreError::Unknown,
         };
-        self.relays.lock().unwrap().failed(self.time.now(), peer);
+        self.relays.lock().unwrap().record_failure(self.time.now(), peer);
         Err(error)
     }
 
--- a/crates/trestlerackd/src/entry/server_feed.rs
+++ b/crates/trestlerackd/src/entry/server_feed.rs
@@ -39,7 +39,7 @@
             Ok(_) => {}
             Err(error) => {
                 logs::write(event::ROW_REFUSED, &[("key", &row.key), ("why", &error)]);
-                if registry.refuse(&row.key) {
+                if registry.remove_invalid(&row.key) {
                     news.removed(row);
                 }
             }
@@ -65,7 +65,7 @@
             Ok(entry) if is_used_at_all(node, &entry) => entries.push((entry, row)),
             Ok(_) => {}
             Err(error) => {
-                registry.refuse(&row.key);
+                registry.remove_invalid(&row.key);
                 logs::write(event::ROW_REFUSED, &[("key", &row.key), ("why", &error)]);
             }
         }
--- a/crates/trestlerackd/src/entry/suspects/desk.rs
+++ b/crates/trestlerackd/src/entry/suspects/desk.rs
@@ -45,7 +45,7 @@
 impl SuspectDesk {
     /// Builds a desk that suspects nobody.
     pub fn new(settings: &EntrySettings) -> Self {
-        let settings = SuspectSettings { doubt_life: settings.lapse_time() + NEWS_LAG, ..SuspectSettings::default() };
+        let settings = SuspectSettings { doubt_life: settings.entry_ttl() + NEWS_LAG, ..SuspectSettings::default() };
         Self {
             book: Mutex::new(SuspectBook::new(settings)),
             trials: Mutex::default(),
--- a/crates/trestlerackd/src/entry/weights.rs
+++ b/crates/trestlerackd/src/entry/weights.rs
@@ -352,7 +352,7 @@
     WeightPlanSettings {
         parallel_share: settings.load_share,
         load_time: Duration::from_millis(settings.first_load_ms),
-        proof_time: settings.lapse_time() + LIST_LAG,
+        proof_time: settings.entry_ttl() + LIST_LAG,
         ..WeightPlanSettings::default()
     }
 }
--- a/crates/trestlerackd/src/process/rollout_loop.rs
+++ b/crates/trestlerackd/src/process/rollout_loop.rs
@@ -120,7 +120,7 @@
                 if next.renewal == 0 {
                     logs::write(event::LEASE_TAKEN, &[("model", model), ("fence", &next.fence)]);
                 }
-                with_keeper(node, model, |keeper| keeper.written(sent_at, next));
+                with_keeper(node, model, |keeper| keeper.record_write(sent_at, next));
             }
             Ok(CommitOutcome::Conflict) => {}
             Err(error) => store_failed(node, "lease", error),
--- a/crates/trestlerackd/src/process/spool.rs
+++ b/crates/trestlerackd/src/process/spool.rs
@@ -37,7 +37,7 @@
 
     /// Returns whether another group would fit, so that none is made in vain.
     pub fn has_room(&self) -> bool {
-        self.own.lock().unwrap().has_room(0)
+        self.own.lock().unwrap().has_space(0)
     }
 
     /// Keeps a copy for `holder`, or drops it where `content` is empty.
@@ -65,7 +65,7 @@
             if let Some((_, group)) = copies.remove(&key) {
                 let size = group.size();
                 // A full spool means that the group is made again, which costs time and nothing else.
-                let _ = self.own.lock().unwrap().offer(group, size);
+                let _ = self.own.lock().unwrap().try_push(group, size);
             }
         }
     }
@@ -78,7 +78,7 @@
     let content = serde_json::to_string(&group).unwrap_or_default();
     send_copy(node, &group, content).await;
     let size = group.size();
-    if node.spool.own.lock().unwrap().offer(group, size).is_err() {
+    if node.spool.own.lock().unwrap().try_push(group, size).is_err() {
         logs::write(event::GROUP_FAILED, &[("cause", &"the spool is full; the group will be made again")]);
     }
 }
@@ -102,11 +102,11 @@
         let Some((group, size)) = next else { continue };
         match record(&node, &group).await {
             Ok(_) => {
-                node.spool.own.lock().unwrap().stored();
+                node.spool.own.lock().unwrap().record_success();
                 send_copy(&node, &group, String::new()).await;
             }
             Err(_) => {
-                node.spool.own.lock().unwrap().failed(node.now(), group, size);
+                node.spool.own.lock().unwrap().record_failure(node.now(), group, size);
             }
         }
     }
--- a/crates/trestlerackd/src/process/step_loop.rs
+++ b/crates/trestlerackd/src/process/step_loop.rs
@@ -85,7 +85,7 @@
     let next = steps.first().copied();
     for step in steps {
         let store = node.step_store();
-        let look = store.look(
+        let look = store.try_seal(
             &campaign.name,
             step,
             campaign.staleness_rule(),
@@ -102,7 +102,7 @@
 
 async fn act_on_look(node: &Arc<Node>, campaign: &Campaign, look: SealOutcome, is_next: bool) {
     match look {
-        SealOutcome::Closed => {}
+        SealOutcome::NotOpen => {}
         SealOutcome::Sealed(row) => logs::write(
             event::STEP_SEALED,
             &[("campaign", &row.campaign), ("step", &row.step), ("groups", &row.groups)],
--- a/crates/trestlerackd/src/request/group_record.rs
+++ b/crates/trestlerackd/src/request/group_record.rs
@@ -5,14 +5,14 @@
 use std::sync::Arc;
 use trestlerack::border::StoreError;
 use trestlerack::event;
-use trestlerack::process::{GeneratedGroup, Recorded};
+use trestlerack::process::{GeneratedGroup, RecordOutcome};
 
 /// Records a group. Repeating it is harmless, also when an earlier answer was lost.
-pub async fn record(node: &Arc<Node>, group: &GeneratedGroup) -> Result<Recorded, StoreError> {
+pub async fn record(node: &Arc<Node>, group: &GeneratedGroup) -> Result<RecordOutcome, StoreError> {
     let outcome = node.step_store().record(group).await;
     match outcome {
-        Ok(Recorded::Ours) => logs::write(event::GROUP_RECORDED, &[("group", &group.key())]),
-        Ok(Recorded::Superseded) => logs::write(event::GROUP_SUPERSEDED, &[("group", &group.key())]),
+        Ok(RecordOutcome::Stored) => logs::write(event::GROUP_RECORDED, &[("group", &group.key())]),
+        Ok(RecordOutcome::Superseded) => logs::write(event::GROUP_SUPERSEDED, &[("group", &group.key())]),
         Err(error) => logs::write(event::OBJECT_FAILED, &[("call", &"record group"), ("error", &error)]),
     }
     outcome
--- a/crates/trestlerackd/src/request/steps.rs
+++ b/crates/trestlerackd/src/request/steps.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 use trestlerack::border::{StoreError, TableTransaction};
-use trestlerack::process::{Opened, StepRow, StepState, StepSubmission};
+use trestlerack::process::{OpenOutcome, StepRow, StepState, StepSubmission};
 use trestlerack::request::Sample;
 use trestlerack::verdict::Reason;
 use trestlerack::version::{Campaign, SampleAge, WeightVersion};
@@ -95,21 +95,21 @@
     let campaign = campaign_of(&call)?;
     let step = call.number(4)?;
     let submission: StepSubmission = call.json()?;
-    if let Some(fault) = submission.fault() {
+    if let Some(fault) = submission.validation_error() {
         return Err(Failure::not_run(Reason::BadRequest, fault));
     }
     let operation = call.node.operation_id();
     let opened = call.node.step_store().open(&campaign.name, step, &submission, operation).await;
     let groups = submission.groups.len();
     let state = match opened.map_err(store_down)? {
-        Opened::New => {
+        OpenOutcome::Created => {
             let fields: [(&str, &dyn std::fmt::Display); 3] =
                 [("campaign", &campaign.name), ("step", &step), ("groups", &groups)];
             logs::write(event::STEP_ACCEPTED, &fields);
             StepState::Open
         }
-        Opened::Again(state) => state,
-        Opened::Conflict => {
+        OpenOutcome::Existing(state) => state,
+        OpenOutcome::Conflict => {
             let detail = "the step was submitted before with other groups";
             return Err(Failure::not_run(Reason::Conflict, detail));
         }
