--- a/crates/trestlerack/src/process/mod.rs
+++ b/crates/trestlerack/src/process/mod.rs
@@ -3,7 +3,9 @@
 mod answer_time;
 mod broadcast;
 mod call_rank;
+mod change_feed;
 mod direct_way;
+mod draining;
 mod duty_gate;
 mod end_news;
 mod engine_fleet;
@@ -11,12 +13,10 @@
 mod entry_settings;
 mod event_pace;
 mod expectation;
-mod feed_log;
+mod follower_choice;
 mod held;
 mod job_owner;
 mod lease;
-mod leaving;
-mod levels;
 mod limiter;
 mod membership;
 mod news;
@@ -26,7 +26,7 @@
 mod pacing;
 mod placement;
 mod registry;
-mod relay_choice;
+mod relay_selector;
 mod room;
 mod run_limits;
 mod run_move;
@@ -52,14 +52,16 @@
 pub use answer_time::AnswerTimes;
 pub use broadcast::BroadcastQueue;
 pub use call_rank::{CallRank, call_priority};
+pub use change_feed::{ChangeFeed, FeedPosition};
 pub use direct_way::{DirectWay, WayChange};
+pub use draining::DrainingServers;
 pub use duty_gate::{DutyGate, DutySettings};
 pub use end_news::{EndNews, EndNewsSettings};
 pub use engine_fleet::{EngineFleet, FleetRow, FleetSettings, ScalingTerms, ZoneEngines, ZoneOrder};
 pub use engine_memory::{EngineMemory, SharedPrompt, TokenNeed};
 pub use entry_settings::{ENTRY_FIELDS, EntrySettings, parse_entry_settings};
 pub use event_pace::{EventPace, PaceSample};
-pub use feed_log::{ChangeFeed, FeedPosition};
+pub use follower_choice::{FollowerCandidate, choose_followers, follower_count, follower_order};
 pub use held::{
     ByteLedger, CONNECTION_BYTES, DescriptorBoard, DescriptorBounds, DescriptorKind, DescriptorSeat, HeldBounds,
     HeldBytes, HeldPurpose, IdleClient, LedgerView, REQUEST_BYTES, ReadPace, ReaderView, SMALL_BYTES, STREAM_BYTES,
@@ -67,8 +69,6 @@
 };
 pub use job_owner::{OwnerCandidate, choose_job_owner, successor_rank};
 pub use lease::{LeaseAction, LeaseGrant, LeaseKeeper, LeaseRow, LeaseSettings};
-pub use leaving::DrainingServers;
-pub use levels::{FollowerCandidate, choose_followers, follower_count, follower_order};
 pub use limiter::{RetryBudget, UserLimiter};
 pub use membership::{
     Heartbeat, Liveness, MembershipAction, MembershipEvent, MembershipSettings, PeerInfo, PeerMembership, PeerUpdate,
@@ -80,7 +80,7 @@
 pub use pacing::{failure_pause, rate_pause, watch_pause};
 pub use placement::{BoardSettings, ServerBoard, ServerNeed, ServerRoom};
 pub use registry::{RegistrySettings, ServerEntry, ServerRegistry};
-pub use relay_choice::RelaySelector;
+pub use relay_selector::RelaySelector;
 pub use room::{
     AdmissionQueue, AttemptReason, CallAdmission, CallFate, CallKind, CallNumber, CallRefusal, RefusalReason,
     ReturnTimes, RoomSettings, SecondAttempts, ServiceView, WaitingCall,
