--- a/crates/trestlerack/src/process/follower_choice.rs
+++ b/crates/trestlerack/src/process/follower_choice.rs
@@ -63,7 +63,7 @@
         return nodes.iter().map(|node| node.name.clone()).collect();
     }
     let largest = nodes.iter().map(|node| node.capacity).max().unwrap_or(0);
-    let large_capacity = (f64::from(largest) * LARGE_CAPACITY_RATIO).ceil() as u32;
+    let threshold = (f64::from(largest) * LARGE_CAPACITY_RATIO).ceil() as u32;
     let key = hash_parts(&["follower"]);
     let mut zones: BTreeMap<&Name, Vec<&FollowerCandidate>> = BTreeMap::new();
     nodes.iter().for_each(|node| zones.entry(&node.zone).or_default().push(node));
@@ -71,7 +71,7 @@
     for mut zone_nodes in zones.into_values() {
         let wanted = (count * zone_nodes.len()).div_ceil(nodes.len()).max(MIN_FOLLOWERS_PER_ZONE);
         let rank = |node: &&FollowerCandidate| {
-            (node.capacity < large_capacity, std::cmp::Reverse(rendezvous_weight(key, &node.name)))
+            (node.capacity < threshold, std::cmp::Reverse(rendezvous_weight(key, &node.name)))
         };
         zone_nodes.sort_by_key(rank);
         chosen.extend(zone_nodes.into_iter().take(wanted).map(|node| node.name.clone()));
--- a/crates/trestlerack/src/process/job_owner.rs
+++ b/crates/trestlerack/src/process/job_owner.rs
@@ -31,8 +31,8 @@
     newest: Option<&str>,
     candidates: &'a [OwnerCandidate],
 ) -> Option<&'a OwnerCandidate> {
-    let min_capacity = large_capacity(candidates.iter().map(|candidate| candidate.capacity));
-    let large = || candidates.iter().filter(|candidate| candidate.capacity >= min_capacity);
+    let threshold = large_threshold(candidates.iter().map(|candidate| candidate.capacity));
+    let large = || candidates.iter().filter(|candidate| candidate.capacity >= threshold);
     let key = hash_parts(&[model]);
     let cost = |candidate: &&OwnerCandidate| {
         let weight = rendezvous_weight(key, &candidate.name);
@@ -47,14 +47,14 @@
 /// Large nodes come first, and the rendezvous weight for the job breaks ties, so each node computes the
 /// same order.
 pub fn successor_rank(job: &str, own: (&str, u32), others: &[(Name, u32)]) -> usize {
-    let min_capacity = large_capacity(others.iter().map(|(_, capacity)| *capacity).chain([own.1]));
+    let threshold = large_threshold(others.iter().map(|(_, capacity)| *capacity).chain([own.1]));
     let key = hash_parts(&[job]);
-    let rank = |name: &str, capacity: u32| (capacity >= min_capacity, rendezvous_weight(key, name));
+    let rank = |name: &str, capacity: u32| (capacity >= threshold, rendezvous_weight(key, name));
     let own_rank = rank(own.0, own.1);
     others.iter().filter(|(name, capacity)| **name != *own.0 && rank(name, *capacity) > own_rank).count()
 }
 
 /// Returns the capacity from which a node counts as large.
-fn large_capacity(capacities: impl Iterator<Item = u32>) -> u32 {
+fn large_threshold(capacities: impl Iterator<Item = u32>) -> u32 {
     (f64::from(capacities.max().unwrap_or(0)) * LARGE_CAPACITY_RATIO).ceil() as u32
 }
--- a/crates/trestlerack/src/process/lease.rs
+++ b/crates/trestlerack/src/process/lease.rs
@@ -41,7 +41,7 @@
 /// What to do about the lease now.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaseAction {
-    /// Nothing.
+    /// Do nothing.
     Wait,
     /// Write this row on condition that the row has not changed since it was read.
     Write(LeaseRow),
--- a/crates/trestlerack/src/process/membership.rs
+++ b/crates/trestlerack/src/process/membership.rs
@@ -375,7 +375,7 @@
         if known.as_ref().is_some_and(|known| incoming <= (known.info.incarnation, known.liveness)) {
             return None;
         }
-        let state = self.advance(now, known, &update);
+        let state = self.next_state(now, known, &update);
         self.peers.insert(update.peer.name.clone(), state);
         if update.peer.incarnation > 0 {
             self.enqueue(update.clone());
@@ -383,7 +383,7 @@
         Some(MembershipAction::Changed(update))
     }
 
-    fn advance(&self, now: Timestamp, known: Option<PeerState>, update: &PeerUpdate) -> PeerState {
+    fn next_state(&self, now: Timestamp, known: Option<PeerState>, update: &PeerUpdate) -> PeerState {
         let initial = PeerState {
             info: update.peer.clone(),
             liveness: update.liveness,
--- a/crates/trestlerack/src/process/spool.rs
+++ b/crates/trestlerack/src/process/spool.rs
@@ -85,8 +85,8 @@
         let entry = self.waiting.pop_front()?;
         self.bytes -= entry.1;
         let nodes = u32::try_from(nodes).unwrap_or(u32::MAX);
-        let shared = self.settings.drain_interval_per_node.saturating_mul(nodes);
-        self.next_try = now + shared.max(self.settings.drain_interval);
+        let shared_interval = self.settings.drain_interval_per_node.saturating_mul(nodes);
+        self.next_try = now + shared_interval.max(self.settings.drain_interval);
         Some(entry)
     }
 
--- a/crates/trestlerack/src/process/step_store.rs
+++ b/crates/trestlerack/src/process/step_store.rs
@@ -58,14 +58,14 @@
 pub enum RecordOutcome {
     /// The row of this group was stored, now or by an earlier try.
     Stored,
-    /// Another node's row stood first.
+    /// Another node's row was stored first.
     Superseded,
 }
 
-/// How opening a step ended.
+/// Outcome of opening a step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OpenOutcome {
-    /// The step is new.
+    /// The step is new and was opened by this operation.
     Created,
     /// The same groups were submitted before, and the step is in this state.
     Existing(StepState),
@@ -82,7 +82,7 @@
     Sealed(StepRow),
     /// Groups are missing and are to be generated.
     Missing {
-        /// The step.
+        /// Row of the step.
         row: StepRow,
         /// The submission, with all groups of the step.
         submission: Arc<StepSubmission>,
@@ -91,7 +91,7 @@
     },
     /// Groups were too old. Their rows were removed, so that they are generated again.
     Removed {
-        /// The step.
+        /// Row of the step.
         row: StepRow,
         /// Keys of the removed groups.
         removed: Vec<Name>,
@@ -128,7 +128,7 @@
 }
 
 impl<'a> StepStore<'a> {
-    /// Builds the store over the platform's services.
+    /// Builds the store on top of the platform's services.
     pub fn new(table: &'a dyn TableStore, objects: &'a dyn ObjectStore) -> Self {
         Self { table, objects }
     }
--- a/crates/trestlerack/src/process/usage.rs
+++ b/crates/trestlerack/src/process/usage.rs
@@ -39,7 +39,7 @@
 
     /// Returns whether a lease holder that has received snapshots since `receiving_since_ms` is to sum the
     /// counts of a window now.
-    pub fn is_due(&self, window: u64, wall_ms: u64, receiving_since_ms: u64) -> bool {
+    pub fn should_sum(&self, window: u64, wall_ms: u64, receiving_since_ms: u64) -> bool {
         let collect = self.due_ms * COLLECT_PERCENT / 100;
         let end = (window + 1) * self.window_ms;
         let is_collected = wall_ms >= end + collect && wall_ms >= receiving_since_ms + collect;
--- a/crates/trestlerack/tests/duties.rs
+++ b/crates/trestlerack/tests/duties.rs
@@ -122,10 +122,10 @@
 fn a_window_is_summed_after_nodes_had_time_to_send_and_before_its_report_is_due() {
     let window = 1_000;
     let end = (window + 1) * 5_000;
-    let due_at = |since| (end..end + 20_000).step_by(100).find(|wall| USAGE.is_due(window, *wall, since));
-    assert_eq!(due_at(0), Some(end + 3_500));
-    assert_eq!(due_at(end + 2_000), Some(end + 5_500), "a new holder waits for snapshots as long as the first one");
-    assert_eq!(due_at(end + 7_000), Some(end + 8_000), "but not until the report is overdue");
+    let summed_at = |since| (end..end + 20_000).step_by(100).find(|wall| USAGE.should_sum(window, *wall, since));
+    assert_eq!(summed_at(0), Some(end + 3_500));
+    assert_eq!(summed_at(end + 2_000), Some(end + 5_500), "a new holder waits for snapshots as long as the first one");
+    assert_eq!(summed_at(end + 7_000), Some(end + 8_000), "but not until the report is overdue");
     assert!(!USAGE.is_expired(window, end + 14_000) && USAGE.is_expired(window, end + 25_000));
 }
 
--- a/crates/trestlerack/tests/followers.rs
+++ b/crates/trestlerack/tests/followers.rs
@@ -86,8 +86,8 @@
             assert_eq!(zone_of(&order[1]), own.zone, "the zone has a second follower in case the first is lost");
             *asking.entry(order[0].clone()).or_default() += 1;
         }
-        let most = asking.values().max().copied().unwrap_or(0);
-        assert!(most <= MAX_ASKING, "{most} nodes ask one follower in a fleet of {count}");
+        let highest = asking.values().max().copied().unwrap_or(0);
+        assert!(highest <= MAX_ASKING, "{highest} nodes ask one follower in a fleet of {count}");
     }
 }
 
--- a/crates/trestlerack/tests/leases.rs
+++ b/crates/trestlerack/tests/leases.rs
@@ -1,5 +1,5 @@
-//! A holder that is suspended past the end of its lease and then resumes sends no order out of turn, with
-//! and without fencing.
+//! A holder that is suspended past the end of its lease and then resumes: none of its orders takes effect
+//! after one of a newer holder, with and without fencing.
 
 mod support;
 
@@ -9,8 +9,8 @@
 use trestlerack::Timestamp;
 use trestlerack::process::{LeaseAction, LeaseKeeper, LeaseRow, LeaseSettings};
 
-const STEP_MS: u64 = 100;
-const STEPS: u64 = 900;
+const TICK_MS: u64 = 100;
+const TICKS: u64 = 900;
 const NODES: usize = 3;
 
 /// A node whose clock runs at its own rate, and which may be suspended or disconnected from the table for a
@@ -23,7 +23,7 @@
 }
 
 impl Holder {
-    fn local(&self, now: u64) -> Timestamp {
+    fn local_time(&self, now: u64) -> Timestamp {
         Timestamp((now as f64 * self.rate) as u64 + 10_000)
     }
 }
@@ -62,8 +62,8 @@
 
 impl Simulation {
     fn run(&mut self) {
-        for step in 0..STEPS {
-            let now = step * STEP_MS;
+        for tick in 0..TICKS {
+            let now = tick * TICK_MS;
             self.deliver_orders(now);
             for node in 0..NODES {
                 self.act(now, node);
@@ -102,7 +102,7 @@
     fn renew(&mut self, now: u64, node: usize) {
         let is_lost = self.random.random_ratio(1, 5);
         let holder = &mut self.holders[node];
-        let local = holder.local(now);
+        let local = holder.local_time(now);
         let LeaseAction::Write(row) = holder.keeper.decide(local, self.row.clone()) else { return };
         let version = self.row.as_ref().map_or(0, |(version, _)| *version) + 1;
         self.row = Some((version, row.clone()));
@@ -114,7 +114,7 @@
 
     fn order(&mut self, now: u64, node: usize) {
         let holder = &self.holders[node];
-        let local = holder.local(now);
+        let local = holder.local_time(now);
         let fence = if self.waits_for_predecessor {
             holder.keeper.order_fence(local, self.checks_fencing)
         } else {
--- a/crates/trestlerackd/src/entry/duties/usage_report.rs
+++ b/crates/trestlerackd/src/entry/duties/usage_report.rs
@@ -80,7 +80,7 @@
         }
         let Some(desk) = &mut desk else { continue };
         let wall_ms = node.usage.wall_ms();
-        while settings.is_due(desk.next, wall_ms, desk.listening_ms) {
+        while settings.should_sum(desk.next, wall_ms, desk.listening_ms) {
             if !store_report(&node, settings, desk, wall_ms).await {
                 break;
             }
