--- a/crates/trestlerack/src/process/change_feed.rs
+++ b/crates/trestlerack/src/process/change_feed.rs
@@ -43,7 +43,7 @@
         self.position
     }
 
-    /// Drops all rows. Readers at an earlier position have to read all rows anew.
+    /// Drops all rows. Readers at an earlier position have to read all rows again.
     pub fn clear(&mut self) {
         *self = Self { position: self.position, dropped_through: self.position.number, ..Self::default() };
     }
@@ -99,7 +99,7 @@
     }
 
     /// Returns the changes after a position that `is_wanted` selects, or `None` if they are no longer
-    /// known and the reader has to read all rows anew.
+    /// known and the reader has to read all rows again.
     pub fn changes(&self, after: FeedPosition, is_wanted: impl Fn(&StoredRow) -> bool) -> Option<Vec<StoredRow>> {
         let is_known =
             after.epoch == self.position.epoch && (self.dropped_through..=self.position.number).contains(&after.number);
--- a/crates/trestlerack/tests/followers.rs
+++ b/crates/trestlerack/tests/followers.rs
@@ -92,13 +92,13 @@
 }
 
 #[test]
-fn followers_are_large_nodes_and_stay_the_same_when_another_node_is_lost() {
+fn followers_are_large_nodes_and_the_others_stay_when_one_is_lost() {
     let all = nodes(1_000);
     let chosen = followers_of(&all, 10_000);
     assert!(all.iter().filter(|node| chosen.contains(&node.name)).all(|node| node.capacity == 500));
     let lost = chosen.iter().next().unwrap().clone();
-    let left: Vec<FollowerCandidate> = all.iter().filter(|node| node.name != lost).cloned().collect();
-    let next = followers_of(&left, 10_000);
+    let remaining: Vec<FollowerCandidate> = all.iter().filter(|node| node.name != lost).cloned().collect();
+    let next = followers_of(&remaining, 10_000);
     assert_eq!(chosen.difference(&next).collect::<Vec<_>>(), [&lost]);
     assert_eq!(next.difference(&chosen).count(), 1, "one node replaces it");
     let no_large: Vec<FollowerCandidate> = all.into_iter().filter(|node| node.capacity < 500).collect();
@@ -115,15 +115,18 @@
             let used = servers.iter().filter(|entry| counts.is_in_part(&own.name, &own.zone, entry));
             let mut by_service: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
             for entry in used {
-                let (near, far) = by_service.entry(&entry.service).or_default();
-                *(if entry.zone == own.zone { near } else { far }) += 1;
+                let (same_zone, other_zones) = by_service.entry(&entry.service).or_default();
+                *(if entry.zone == own.zone { same_zone } else { other_zones }) += 1;
             }
-            for (service, (near, far)) in by_service {
+            for (service, (same_zone, other_zones)) in by_service {
                 let all = servers.iter().filter(|entry| *entry.service == *service).count();
                 let in_zone =
                     servers.iter().filter(|entry| *entry.service == *service && entry.zone == own.zone).count();
-                assert!(near + far <= MAX_USED.min(all), "{near} and {far} of {all}");
-                assert!(near >= 12.min(in_zone) && near + far >= 16.min(all), "{near} and {far} of {all}");
+                assert!(same_zone + other_zones <= MAX_USED.min(all), "{same_zone} and {other_zones} of {all}");
+                assert!(
+                    same_zone >= 12.min(in_zone) && same_zone + other_zones >= 16.min(all),
+                    "{same_zone} and {other_zones} of {all}"
+                );
             }
         }
     }
@@ -190,7 +193,7 @@
                     expected.clear();
                     apply(&mut expected, rows.clone());
                     feed.replace("servers", rows);
-                    // The feed no longer has the removals since then, so the node reads all rows anew.
+                    // The feed no longer has the removals since then, so the node reads all rows again.
                     position = None;
                 }
                 _ => {
