--- a/crates/trestlerack/src/process/mod.rs
+++ b/crates/trestlerack/src/process/mod.rs
@@ -1,10 +1,12 @@
-//! What lives as long as the process: peers, ownership, leases, limits, steps and the spool.
+//! State that lives as long as the process: peers, ownership, leases, limits, steps and the spool.
 
 mod admission;
 mod answer_time;
 mod broadcast;
 mod call_rank;
+mod change_feed;
 mod direct_way;
+mod draining;
 mod duty_gate;
 mod engine_fleet;
 mod engine_memory;
@@ -12,13 +14,11 @@
 mod entry_settings;
 mod event_pace;
 mod expectation;
-mod feed_log;
+mod follower_choice;
 mod hedging;
 mod job_end_freshness;
 mod job_owner;
 mod lease;
-mod leaving;
-mod levels;
 mod limiter;
 mod load_message;
 mod membership;
@@ -27,7 +27,7 @@
 mod ownership;
 mod placement;
 mod registry;
-mod relay_choice;
+mod relay_selector;
 mod resource_limits;
 mod run_move;
 mod run_timeouts;
@@ -56,19 +56,19 @@
 pub use answer_time::AnswerTimes;
 pub use broadcast::BroadcastQueue;
 pub use call_rank::{CallRank, call_priority};
+pub use change_feed::{ChangeFeed, FeedPosition};
 pub use direct_way::{DirectWay, WayChange};
+pub use draining::DrainingServers;
 pub use duty_gate::{DutyGate, DutySettings};
 pub use engine_fleet::{EngineFleet, FleetRow, FleetSettings, ScalingTerms, ZoneEngines, ZoneOrder};
 pub use engine_memory::{EngineMemory, SharedPrompt, TokenNeed};
 pub use engine_priority::{CallHistory, ServicePriorities, engine_priority, shows_preemption};
 pub use entry_settings::{ENTRY_FIELDS, EntrySettings, parse_entry_settings};
 pub use event_pace::{EventPace, PaceSample};
-pub use feed_log::{FeedLog, FeedPlace};
+pub use follower_choice::{FollowerCandidate, choose_followers, follower_count, follower_order};
 pub use job_end_freshness::{JobEndFreshness, JobEndFreshnessSettings};
 pub use job_owner::{OwnerCandidate, choose_job_owner, successor_rank};
-pub use lease::{LeaseGrant, LeaseKeeper, LeaseRow, LeaseSettings, LeaseStep};
-pub use leaving::LeavingBoard;
-pub use levels::{LevelNode, ask_order, choose_followers, follower_count};
+pub use lease::{LeaseAction, LeaseGrant, LeaseKeeper, LeaseRow, LeaseSettings};
 pub use limiter::{RetryBudget, UserLimiter};
 pub use load_message::{CustomerUsage, LoadMessage, ServerObservation, ServiceShares};
 pub use membership::{
@@ -76,10 +76,10 @@
 };
 pub use node_rows::{NODE_PARTITIONS, NodeRow, NodeRows, is_node_partition, node_partition};
 pub use outlier::{OutlierDetector, OutlierSettings};
-pub use ownership::{ModelOwner, NodeView, OwnerTable, OwnershipView};
+pub use ownership::{EligibleNode, EngineOwners, ModelOwner, OwnershipView};
 pub use placement::{BoardSettings, ServerBoard, ServerNeed, ServerRoom};
 pub use registry::{RegistrySettings, ServerEntry, ServerRegistry};
-pub use relay_choice::RelayChoice;
+pub use relay_selector::RelaySelector;
 pub use resource_limits::{
     CONNECTION_BYTES, ConnectionCounter, ConnectionKind, ConnectionLimits, ConnectionPermit, DownloadProgress,
     DownloadStatus, IdleClient, MemoryLimits, MemoryPool, MemoryPurpose, MemoryReservation, MemoryUsage, REQUEST_BYTES,
@@ -102,9 +102,9 @@
 pub use standing::{ServerFigures, ServerStanding};
 pub use step::{
     GroupRow, GroupSpec, SealDecision, SealedGroup, StepRow, StepState, StepSubmission, decide_seal, group_key,
-    group_prefix, open_key, step_key,
+    group_prefix, open_step_key, step_key,
 };
-pub use step_store::{MadeGroup, ManifestCache, Opened, Recorded, StepLook, StepStore};
+pub use step_store::{GeneratedGroup, ManifestCache, OpenOutcome, RecordOutcome, SealOutcome, StepStore};
 pub use store_pacing::{failure_backoff, rate_limit_backoff, watch_interval};
 pub use suspects::{
     CrashReport, DISCOVERY_LAG, GossipSettings, SuspectRun, SuspectSettings, SuspectState, SuspectStatus,
@@ -112,6 +112,7 @@
 };
 pub use suspension::SuspensionDetector;
 pub use usage::{
-    CustomerCounts, UsageCounter, UsageDesk, UsageNote, UsageReport, UsageSender, UsageSettings, WindowNotes,
+    CustomerCounts, UsageCollector, UsageCounter, UsageReport, UsageSender, UsageSettings, UsageSnapshot,
+    WindowSnapshots,
 };
 pub use wait_estimate::WaitEstimate;
--- a/crates/trestlerack/tests/suspensions.rs
+++ b/crates/trestlerack/tests/suspensions.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use trestlerack::Timestamp;
 use trestlerack::process::{
-    EventPace, LeaseKeeper, LeaseRow, LeaseSettings, LeaseStep, PaceSample, StableWallClock, SuspensionDetector,
+    EventPace, LeaseAction, LeaseKeeper, LeaseRow, LeaseSettings, PaceSample, StableWallClock, SuspensionDetector,
 };
 
 const fn ms(ms: u64) -> Duration {
@@ -48,8 +48,8 @@
 fn a_lease_expires_during_a_suspension() {
     let settings = LeaseSettings { ttl: ms(1_500), margin: ms(300), order_time: Duration::ZERO };
     let mut keeper = LeaseKeeper::new(settings, "a".into(), 1);
-    let LeaseStep::Write(row) = keeper.decide(Timestamp(10_000), None) else { panic!("the lease is free") };
-    keeper.written(Timestamp(10_000), LeaseRow { ..row });
+    let LeaseAction::Write(row) = keeper.decide(Timestamp(10_000), None) else { panic!("the lease is free") };
+    keeper.record_write(Timestamp(10_000), LeaseRow { ..row });
     assert_eq!(keeper.fence(Timestamp(10_100)), Some(1));
     // Five seconds pass that a monotonic clock would not count.
     assert_eq!(keeper.fence(Timestamp(15_100)), None);
--- a/crates/trestlerackd/src/entry/order_lease.rs
+++ b/crates/trestlerackd/src/entry/order_lease.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use trestlerack::border::StoreError;
 use trestlerack::hash::{hash_parts, rank_among};
-use trestlerack::process::{LeaseKeeper, LeaseRow, LeaseSettings, LeaseStep, rate_limit_backoff};
+use trestlerack::process::{LeaseAction, LeaseKeeper, LeaseRow, LeaseSettings, rate_limit_backoff};
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall, StoreReply};
 use trestlerack::{Name, Timestamp, event};
 
@@ -157,7 +157,7 @@
     if let Some((version, held)) = &mut row {
         held.released |= node.peers.is_restarted(&held.holder, held.incarnation, *version);
     }
-    let LeaseStep::Write(row) = desk.keeper.decide(now, row) else {
+    let LeaseAction::Write(row) = desk.keeper.decide(now, row) else {
         desk.free_since = None;
         return;
     };
@@ -171,7 +171,7 @@
             desk.failures = 0;
             desk.free_since = None;
             if is_written {
-                desk.keeper.written(now, row);
+                desk.keeper.record_write(now, row);
             }
         }
         // A holder goes on trying at the usual pace, because its lease runs out meanwhile.
--- a/crates/trestlerackd/src/entry/suspects/desk.rs
+++ b/crates/trestlerackd/src/entry/suspects/desk.rs
@@ -46,7 +46,7 @@
     /// Builds a desk that suspects nobody.
     pub fn new(settings: &EntrySettings) -> Self {
         let settings =
-            SuspectSettings { unresolved_ttl: settings.lapse_time() + DISCOVERY_LAG, ..SuspectSettings::default() };
+            SuspectSettings { unresolved_ttl: settings.entry_ttl() + DISCOVERY_LAG, ..SuspectSettings::default() };
         Self {
             book: Mutex::new(SuspectTracker::new(settings)),
             trials: Mutex::default(),
--- a/crates/trestlerackd/src/process/spool.rs
+++ b/crates/trestlerackd/src/process/spool.rs
@@ -11,15 +11,15 @@
 use trestlerack::Name;
 use trestlerack::connection::LinkFrame;
 use trestlerack::event;
-use trestlerack::process::{MadeGroup, SampleSpool, SpoolSettings};
+use trestlerack::process::{GeneratedGroup, SampleSpool, SpoolSettings};
 
 /// Interval at which the spool is looked at.
 const LOOK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The spool of this node and the copies that it keeps for peers.
 pub struct GroupSpool {
-    own: Mutex<SampleSpool<MadeGroup>>,
-    copies: Mutex<HashMap<Name, (Name, MadeGroup)>>,
+    own: Mutex<SampleSpool<GeneratedGroup>>,
+    copies: Mutex<HashMap<Name, (Name, GeneratedGroup)>>,
     max_copies_bytes: usize,
 }
 
@@ -37,7 +37,7 @@
 
     /// Returns whether another group would fit, so that none is made in vain.
     pub fn has_room(&self) -> bool {
-        self.own.lock().unwrap().has_room(0)
+        self.own.lock().unwrap().has_space(0)
     }
 
     /// Keeps a copy for `holder`, or drops it where `content` is empty.
@@ -48,7 +48,7 @@
             return;
         }
         let held: usize = copies.values().map(|(_, group)| group.size()).sum();
-        let decoded = serde_json::from_str::<MadeGroup>(content);
+        let decoded = serde_json::from_str::<GeneratedGroup>(content);
         if let Ok(group) = decoded
             && held + group.size() <= self.max_copies_bytes
         {
@@ -65,25 +65,25 @@
             if let Some((_, group)) = copies.remove(&key) {
                 let size = group.size();
                 // A full spool means that the group is made again, which costs time and nothing else.
-                let _ = self.own.lock().unwrap().offer(group, size);
+                let _ = self.own.lock().unwrap().try_push(group, size);
             }
         }
     }
 }
 
 /// Puts a made group into the spool and a copy of it onto a peer in an allowed place.
-pub async fn store(node: &Arc<Node>, group: MadeGroup) {
+pub async fn store(node: &Arc<Node>, group: GeneratedGroup) {
     logs::write(event::GROUP_SPOOLED, &[("group", &group.key())]);
     node.telemetry.spooled.add(1, &[]);
     let content = serde_json::to_string(&group).unwrap_or_default();
     send_copy(node, &group, content).await;
     let size = group.size();
-    if node.spool.own.lock().unwrap().offer(group, size).is_err() {
+    if node.spool.own.lock().unwrap().try_push(group, size).is_err() {
         logs::write(event::GROUP_FAILED, &[("cause", &"the spool is full; the group will be made again")]);
     }
 }
 
-async fn send_copy(node: &Arc<Node>, group: &MadeGroup, content: String) {
+async fn send_copy(node: &Arc<Node>, group: &GeneratedGroup, content: String) {
     let config = node.config.current();
     let Some(campaign) = config.campaign(&group.campaign) else { return };
     let key: Name = group.key().into();
@@ -102,11 +102,11 @@
         let Some((group, size)) = next else { continue };
         match record(&node, &group).await {
             Ok(_) => {
-                node.spool.own.lock().unwrap().stored();
+                node.spool.own.lock().unwrap().record_success();
                 send_copy(&node, &group, String::new()).await;
             }
             Err(_) => {
-                node.spool.own.lock().unwrap().failed(node.now(), group, size);
+                node.spool.own.lock().unwrap().record_failure(node.now(), group, size);
             }
         }
     }
