--- a/crates/trestlerack-standins/src/members.rs
+++ b/crates/trestlerack-standins/src/members.rs
@@ -5,7 +5,7 @@
 use hyper::{Method, StatusCode};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use trestlerack::border::MembershipList;
+use trestlerack::interfaces::MembershipList;
 
 struct Members {
     shown: Arc<Mutex<MembershipList>>,
--- a/crates/trestlerack-standins/src/table.rs
+++ b/crates/trestlerack-standins/src/table.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
-use trestlerack::border::{CommitOutcome, TableRow, TableTransaction};
+use trestlerack::interfaces::{CommitOutcome, TableRow, TableTransaction};
 
 #[derive(Default)]
 struct Rows {
--- a/crates/trestlerack/src/lib.rs
+++ b/crates/trestlerack/src/lib.rs
@@ -17,11 +17,11 @@
 //! assert!(!rule.accepts(SampleAge { versions: 3, seconds: 40 }));
 //! ```
 
-pub mod border;
+pub mod allowed_zones;
 pub mod connection;
 pub mod event;
 pub mod hash;
-pub mod place;
+pub mod interfaces;
 pub mod process;
 pub mod request;
 pub mod rows;
@@ -31,7 +31,7 @@
 pub mod verdict;
 pub mod version;
 
-pub use place::PlaceSet;
+pub use allowed_zones::PlaceSet;
 pub use time::Timestamp;
 pub use verdict::{Failure, Verdict};
 
--- a/crates/trestlerack/src/process/direct_way.rs
+++ b/crates/trestlerack/src/process/direct_way.rs
@@ -1,7 +1,7 @@
 //! Whether a node's own way to the store is to be used, or that through peers.
 
 use crate::Timestamp;
-use crate::border::StoreError;
+use crate::interfaces::StoreError;
 use std::time::Duration;
 
 /// Calls refused for their rate, with none answered in between, from which the way is in doubt. A
--- a/crates/trestlerack/src/process/membership.rs
+++ b/crates/trestlerack/src/process/membership.rs
@@ -5,7 +5,7 @@
 //! ([docs/DESIGN.md](../../../../docs/DESIGN.md#membership)).
 
 use super::{BroadcastQueue, NodeView};
-use crate::border::ListedNode;
+use crate::interfaces::ListedNode;
 use crate::trace::TraceHead;
 use crate::{Name, Timestamp};
 use rand::Rng;
--- a/crates/trestlerack/src/process/step_store.rs
+++ b/crates/trestlerack/src/process/step_store.rs
@@ -8,8 +8,8 @@
     step_key,
 };
 use crate::Name;
-use crate::border::{CommitOutcome, Expectation, ObjectStore, StoreError, TableRow, TableStore, TableTransaction};
 use crate::hash::digest_hex;
+use crate::interfaces::{CommitOutcome, Expectation, ObjectStore, StoreError, TableRow, TableStore, TableTransaction};
 use crate::version::{StalenessRule, WeightVersion};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
--- a/crates/trestlerack/src/request/dispatcher.rs
+++ b/crates/trestlerack/src/request/dispatcher.rs
@@ -1,6 +1,6 @@
 //! Queues calls for the engines of one model that a node owns, and starts them.
 
-use super::choice::{ChoicePolicy, EngineChooser, EngineView};
+use super::engine_choice::{ChoicePolicy, EngineChooser, EngineView};
 use crate::process::{OutlierDetector, OutlierSettings};
 use crate::verdict::{Failure, Reason};
 use crate::version::WeightVersion;
--- a/crates/trestlerack/src/request/claim_store.rs
+++ b/crates/trestlerack/src/request/idempotency_store.rs
@@ -1,8 +1,8 @@
 //! Claims in the table service, written before a keyed call is sent and ended afterwards.
 
-use super::claim::{ClaimDecision, ClaimRow, ClaimState, decide_claim};
+use super::idempotency::{ClaimDecision, ClaimRow, ClaimState, decide_claim};
 use crate::Name;
-use crate::border::{CommitOutcome, StoreError, TableRow, TableStore, TableTransaction};
+use crate::interfaces::{CommitOutcome, StoreError, TableRow, TableStore, TableTransaction};
 use crate::verdict::{Failure, Reason};
 use std::time::Duration;
 
--- a/crates/trestlerack/src/request/ledger/mod.rs
+++ b/crates/trestlerack/src/request/job_tracker/mod.rs
@@ -1,13 +1,13 @@
 //! The state of one job's items while a node drives it.
 
-mod outlook;
-mod spare;
+mod estimates;
+mod speculative;
 mod texts;
 
 use super::job::{ItemEvent, ItemTranscript, JobResult, JobSpec, KeptItem, TranscriptError};
 use crate::version::WeightVersion;
 use crate::{Name, Timestamp};
-use outlook::LearntLength;
+use estimates::LearntLength;
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/trestlerack/src/rows.rs
+++ b/crates/trestlerack/src/rows.rs
@@ -4,7 +4,7 @@
 //! a call to a peer that can; see [docs/PLATFORM.md](../../../docs/PLATFORM.md).
 
 use crate::Name;
-use crate::border::StoreError;
+use crate::interfaces::StoreError;
 use async_trait::async_trait;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
--- a/crates/trestlerack/src/version/config_store.rs
+++ b/crates/trestlerack/src/version/config_store.rs
@@ -2,8 +2,8 @@
 
 use super::{ConfigDelta, ConfigFollower, Configuration, Declaration, FollowEvent, plan_change};
 use crate::Name;
-use crate::border::{CommitOutcome, Expectation, ObjectStore, StoreError, TableRow, TableStore, TableTransaction};
 use crate::hash::digest_hex;
+use crate::interfaces::{CommitOutcome, Expectation, ObjectStore, StoreError, TableRow, TableStore, TableTransaction};
 use serde::{Deserialize, Serialize};
 
 /// Key of the row that names the newest generation.
--- a/crates/trestlerack/tests/exactly_once.rs
+++ b/crates/trestlerack/tests/exactly_once.rs
@@ -76,7 +76,7 @@
         let mut lines = Vec::new();
         for group in &row.sealed {
             let content = loop {
-                if let Ok(content) = trestlerack::border::ObjectStore::get(store, &group.object).await {
+                if let Ok(content) = trestlerack::interfaces::ObjectStore::get(store, &group.object).await {
                     break content.expect("a sealed group's object exists");
                 }
             };
--- a/crates/trestlerack/tests/peers.rs
+++ b/crates/trestlerack/tests/peers.rs
@@ -6,8 +6,8 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
 use support::for_seeds;
-use trestlerack::border::ListedNode;
 use trestlerack::connection::{BackendNews, NewsSource};
+use trestlerack::interfaces::ListedNode;
 use trestlerack::process::{
     LeavingBoard, MembershipAction, MembershipEvent, MembershipSettings, NodeView, OwnerTable, OwnershipView, PeerInfo,
     PeerMembership,
--- a/crates/trestlerack/tests/store_rates.rs
+++ b/crates/trestlerack/tests/store_rates.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use trestlerack::Timestamp;
-use trestlerack::border::StoreError;
+use trestlerack::interfaces::StoreError;
 use trestlerack::process::{DirectWay, NODE_PARTITIONS, WayChange, node_partition, rate_pause};
 
 /// Transactions that a partition takes a second; one second of them may wait.
--- a/crates/trestlerack/tests/support/mod.rs
+++ b/crates/trestlerack/tests/support/mod.rs
@@ -10,7 +10,7 @@
 use std::pin::Pin;
 use std::sync::Mutex;
 use std::task::{Context, Poll, Waker};
-use trestlerack::border::{CommitOutcome, ObjectStore, StoreError, TableRow, TableStore, TableTransaction};
+use trestlerack::interfaces::{CommitOutcome, ObjectStore, StoreError, TableRow, TableStore, TableTransaction};
 
 /// Runs a property over many seeds; the same ones in every run.
 pub fn for_seeds(iterations: usize, check: impl Fn(u64) + std::panic::RefUnwindSafe) {
--- a/crates/trestlerackd/src/entry/adoption.rs
+++ b/crates/trestlerackd/src/entry/adoption.rs
@@ -11,7 +11,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
-use trestlerack::border::StoreError;
+use trestlerack::interfaces::StoreError;
 use trestlerack::process::{node_partition, successor_rank};
 use trestlerack::request::JobHead;
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall, StoreReply};
--- a/crates/trestlerackd/src/entry/duties/usage_report.rs
+++ b/crates/trestlerackd/src/entry/duties/usage_report.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
-use trestlerack::border::StoreError;
+use trestlerack::interfaces::StoreError;
 use trestlerack::process::{UsageNote, UsageReport, UsageSettings, WindowNotes};
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall, StoreReply};
 use trestlerack::{Name, Timestamp, event};
--- a/crates/trestlerackd/src/entry/feeds.rs
+++ b/crates/trestlerackd/src/entry/feeds.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
-use trestlerack::border::StoreError;
+use trestlerack::interfaces::StoreError;
 use trestlerack::process::{failure_pause, is_node_partition, watch_pause};
 use trestlerack::rows::{RowStore, StoreCall, StoreReply, StoredRow};
 use trestlerack::version::{EngineAssignment, RoutingTable};
--- a/crates/trestlerackd/src/entry/job_accept.rs
+++ b/crates/trestlerackd/src/entry/job_accept.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
-use trestlerack::border::StoreError;
+use trestlerack::interfaces::StoreError;
 use trestlerack::process::{HeldPurpose, NodeRow, OwnerCandidate, choose_job_owner};
 use trestlerack::request::{JobHead, JobSpec};
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall, StoreReply};
--- a/crates/trestlerackd/src/entry/job_calls.rs
+++ b/crates/trestlerackd/src/entry/job_calls.rs
@@ -9,7 +9,7 @@
 use http::{HeaderValue, Response, StatusCode, header};
 use std::sync::Arc;
 use std::time::Duration;
-use trestlerack::border::StoreError;
+use trestlerack::interfaces::StoreError;
 use trestlerack::request::{JobHead, JobResult, JobSpec};
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall, StoreReply};
 use trestlerack::{Name, Timestamp, event};
--- a/crates/trestlerackd/src/entry/job_records.rs
+++ b/crates/trestlerackd/src/entry/job_records.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use trestlerack::Name;
-use trestlerack::border::StoreError;
+use trestlerack::interfaces::StoreError;
 use trestlerack::request::{JobHead, JobResult};
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall, StoreReply};
 
--- a/crates/trestlerackd/src/entry/job_texts.rs
+++ b/crates/trestlerackd/src/entry/job_texts.rs
@@ -11,7 +11,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
-use trestlerack::border::StoreError;
+use trestlerack::interfaces::StoreError;
 use trestlerack::request::{
     ItemTranscript, JobHead, JobLedger, JobResult, JobSpec, KeptItem, LedgerSettings, TextDelta,
 };
--- a/crates/trestlerackd/src/entry/node.rs
+++ b/crates/trestlerackd/src/entry/node.rs
@@ -23,7 +23,7 @@
 use std::sync::{Arc, Mutex, RwLock};
 use std::time::Duration;
 use tokio::sync::{Notify, watch};
-use trestlerack::border::Clock;
+use trestlerack::interfaces::Clock;
 use trestlerack::process::{
     AnswerTimes, BoardSettings, EndNews, EntrySettings, NodeRow, RegistrySettings, ServerBoard, ServerRegistry,
 };
--- a/crates/trestlerackd/src/entry/peers.rs
+++ b/crates/trestlerackd/src/entry/peers.rs
@@ -19,7 +19,7 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use trestlerack::Name;
-use trestlerack::border::{Clock, StoreError};
+use trestlerack::interfaces::{Clock, StoreError};
 use trestlerack::process::{
     DescriptorKind, DescriptorSeat, HeldPurpose, NodeNews, NodeRow, NodeRows, RelayChoice, StrikeNote, UsageNote,
     UsageSender,
--- a/crates/trestlerackd/src/entry/retention.rs
+++ b/crates/trestlerackd/src/entry/retention.rs
@@ -6,7 +6,7 @@
 use crate::process::logs;
 use std::sync::Arc;
 use std::time::Duration;
-use trestlerack::border::StoreError;
+use trestlerack::interfaces::StoreError;
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall, StoreReply};
 use trestlerack::{Name, event};
 
--- a/crates/trestlerackd/src/entry/store.rs
+++ b/crates/trestlerackd/src/entry/store.rs
@@ -12,7 +12,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::sync::Notify;
-use trestlerack::border::{Clock, StoreError};
+use trestlerack::interfaces::{Clock, StoreError};
 use trestlerack::process::{DirectWay, WayChange, rate_pause};
 use trestlerack::rows::{RowStore, StoreCall, StoreMoment, StoreReply};
 use trestlerack::{Name, event, time::millis};
--- a/crates/trestlerackd/src/entry/suspects/rows.rs
+++ b/crates/trestlerackd/src/entry/suspects/rows.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 use std::time::Duration;
-use trestlerack::border::StoreError;
+use trestlerack::interfaces::StoreError;
 use trestlerack::process::{StrikeNote, SuspectSettings, failure_pause};
 use trestlerack::request::RequestFingerprint;
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall, StoreReply, StoredRow};
--- a/crates/trestlerackd/src/entry/tables.rs
+++ b/crates/trestlerackd/src/entry/tables.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use trestlerack::Name;
-use trestlerack::border::StoreError;
+use trestlerack::interfaces::StoreError;
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall, StoreReply, StoredRow};
 
 /// Small rows that every node watches: heads and ends of jobs, nodes, assignments, the lease.
--- a/crates/trestlerackd/src/node.rs
+++ b/crates/trestlerackd/src/node.rs
@@ -25,7 +25,7 @@
 use std::sync::{Arc, Mutex, RwLock};
 use std::time::Duration;
 use tokio::sync::Semaphore;
-use trestlerack::border::{Clock, EngineClient, MembershipSource, ObjectStore, ScoringClient, TableStore};
+use trestlerack::interfaces::{Clock, EngineClient, MembershipSource, ObjectStore, ScoringClient, TableStore};
 use trestlerack::process::{
     DaemonSettings, MembershipSettings, OwnerTable, OwnershipView, PeerInfo, PeerMembership, RetryBudget, StepStore,
 };
--- a/crates/trestlerackd/src/process/clock.rs
+++ b/crates/trestlerackd/src/process/clock.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::sync::watch;
 use trestlerack::Timestamp;
-use trestlerack::border::Clock;
+use trestlerack::interfaces::Clock;
 use trestlerack::process::SuspensionGauge;
 use trestlerack::time::millis;
 
--- a/crates/trestlerackd/src/process/platform.rs
+++ b/crates/trestlerackd/src/process/platform.rs
@@ -5,7 +5,7 @@
 use hyper::{Method, StatusCode};
 use serde_json::Value;
 use std::time::Duration;
-use trestlerack::border::{
+use trestlerack::interfaces::{
     CommitOutcome, MembershipList, MembershipSource, ObjectStore, StoreError, TableRow, TableStore, TableTransaction,
 };
 use trestlerack::{Failure, Name, Verdict};
--- a/crates/trestlerackd/src/request/desks.rs
+++ b/crates/trestlerackd/src/request/desks.rs
@@ -9,9 +9,9 @@
 use std::sync::{Arc, Mutex, RwLock};
 use std::time::Duration;
 use tokio::sync::oneshot;
-use trestlerack::border::EngineStatus;
 use trestlerack::connection::{BackendNews, NewsSource, NodeLoad};
 use trestlerack::hash::hash_parts;
+use trestlerack::interfaces::EngineStatus;
 use trestlerack::process::{DaemonSettings, LeavingBoard};
 use trestlerack::request::{
     DispatchAction, DispatchEngine, DispatchEvent, DispatchSettings, EngineDispatcher, QueuedCall,
--- a/crates/trestlerackd/src/request/group_record.rs
+++ b/crates/trestlerackd/src/request/group_record.rs
@@ -3,8 +3,8 @@
 use crate::node::Node;
 use crate::process::logs;
 use std::sync::Arc;
-use trestlerack::border::StoreError;
 use trestlerack::event;
+use trestlerack::interfaces::StoreError;
 use trestlerack::process::{MadeGroup, Recorded};
 
 /// Records a group. Repeating it is harmless, also when an earlier answer was lost.
--- a/crates/trestlerackd/src/request/scoring_client.rs
+++ b/crates/trestlerackd/src/request/scoring_client.rs
@@ -4,7 +4,7 @@
 use async_trait::async_trait;
 use std::time::Duration;
 use trestlerack::Failure;
-use trestlerack::border::ScoringClient;
+use trestlerack::interfaces::ScoringClient;
 use trestlerack::verdict::Reason;
 
 /// Time for a score.
--- a/crates/trestlerackd/src/request/steps.rs
+++ b/crates/trestlerackd/src/request/steps.rs
@@ -10,7 +10,7 @@
 use hyper::{Response, StatusCode};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
-use trestlerack::border::{StoreError, TableTransaction};
+use trestlerack::interfaces::{StoreError, TableTransaction};
 use trestlerack::process::{Opened, StepRow, StepState, StepSubmission};
 use trestlerack::request::Sample;
 use trestlerack::verdict::Reason;
--- a/crates/trestlerackd/src/version/plans.rs
+++ b/crates/trestlerackd/src/version/plans.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 use std::time::Duration;
-use trestlerack::border::StoreError;
+use trestlerack::interfaces::StoreError;
 use trestlerack::verdict::Reason;
 use trestlerack::version::{ChangePlan, CommitTry, Confirmation, Declaration, parse_declaration, plan_change};
 use trestlerack::{Failure, Name, event};
--- a/crates/trestlerackd/tests/clock.rs
+++ b/crates/trestlerackd/tests/clock.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
-use trestlerack::border::Clock;
+use trestlerack::interfaces::Clock;
 
 /// The file that reads clocks, monotonic time only to compare it with the time since boot.
 const CLOCKS: &str = "process/clock.rs";
