--- a/crates/trestlerack/tests/samples.rs
+++ b/crates/trestlerack/tests/samples.rs
@@ -1,4 +1,5 @@
-//! Every sample names the versions that made it, and an answer is whole or reported broken.
+//! Every token of a sample has its true version, streams are complete or reported as broken, and groups
+//! complete exactly once.
 
 mod support;
 
@@ -9,16 +10,22 @@
 use trestlerack::request::{GroupAction, GroupDriver, GroupEvent, GroupSettings, SampleAssembler, SampleError};
 use trestlerack::{Name, Timestamp};
 
-/// The true maker of each token: version and engine, as the engine itself knows them.
-type Truth = Vec<(u64, Name)>;
+/// The true version and engine of each token.
+type TokenOrigins = Vec<(u64, Name)>;
 
 fn chunk(offset: u32, tokens: u32, version: Option<u64>) -> TokenChunk {
     let text = (offset..offset + tokens).map(|index| format!("{index} ")).collect();
     TokenChunk { offset, tokens, text, version, incarnation: "i".into(), finish_reason: None }
 }
 
-/// Streams over several attempts on engines that swap, break, repeat, skip and forget to label.
-fn stream(random: &mut Pcg64Mcg, assembler: &mut SampleAssembler, truth: &mut Truth, min_version: u64) {
+/// Streams a sample over several attempts, on engines that swap weights, break off, and repeat, skip or
+/// do not label tokens.
+fn stream_attempts(
+    random: &mut Pcg64Mcg,
+    assembler: &mut SampleAssembler,
+    expected: &mut TokenOrigins,
+    min_version: u64,
+) {
     for attempt in 0..random.random_range(1..5) {
         let engine: Name = format!("engine-{}", random.random_range(0..3)).into();
         assembler.start_attempt(engine.clone(), "obihiro".into(), format!("owner-{attempt}").into());
@@ -27,22 +34,22 @@
             if random.random_ratio(1, 5) {
                 version += 1;
             }
-            let held = assembler.tokens();
+            let received = assembler.tokens();
             let offset = match random.random_range(0..6) {
-                0 => held.saturating_sub(random.random_range(0..4)),
-                1 => held + random.random_range(0..3),
-                _ => held,
+                0 => received.saturating_sub(random.random_range(0..4)),
+                1 => received + random.random_range(0..3),
+                _ => received,
             };
             let tokens = random.random_range(1..5);
             let label = random.random_ratio(9, 10).then_some(version);
             match assembler.accept(&chunk(offset, tokens, label)) {
-                Ok(()) if offset == held => {
+                Ok(()) if offset == received => {
                     assert!(version >= min_version);
-                    truth.extend((0..tokens).map(|_| (version, engine.clone())));
+                    expected.extend((0..tokens).map(|_| (version, engine.clone())));
                 }
-                Ok(()) => assert!(offset < held, "only a repeated chunk is ignored"),
-                Err(SampleError::MissingTokens { at }) => assert_eq!((at, offset > held), (held, true)),
-                Err(SampleError::UnnamedVersion) => assert_eq!(label, None),
+                Ok(()) => assert!(offset < received, "only a duplicate chunk is ignored"),
+                Err(SampleError::MissingTokens { at }) => assert_eq!((at, offset > received), (received, true)),
+                Err(SampleError::MissingVersion) => assert_eq!(label, None),
                 Err(SampleError::TooOld { version }) => assert!(version < min_version),
             }
         }
@@ -50,28 +57,28 @@
 }
 
 #[test]
-fn each_token_is_named_by_exactly_one_range_with_its_true_maker() {
+fn each_token_is_in_exactly_one_range_with_its_true_version_and_engine() {
     for_seeds(2_000, |seed| {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let min_version = random.random_range(0..4);
         let mut assembler = SampleAssembler::new(min_version);
-        let mut truth = Truth::new();
-        stream(&mut random, &mut assembler, &mut truth, min_version);
+        let mut expected = TokenOrigins::new();
+        stream_attempts(&mut random, &mut assembler, &mut expected, min_version);
         let (text, tokens, ranges) = assembler.finish();
         let words: Vec<u32> = text.split_whitespace().map(|word| word.parse().unwrap()).collect();
-        assert_eq!(words, (0..tokens).collect::<Vec<_>>(), "the text is whole and in order");
-        assert_eq!(truth.len(), tokens as usize);
-        let mut named = Truth::new();
+        assert_eq!(words, (0..tokens).collect::<Vec<_>>(), "the text is complete and in order");
+        assert_eq!(expected.len(), tokens as usize);
+        let mut actual = TokenOrigins::new();
         for range in &ranges {
-            assert_eq!(range.from as usize, named.len(), "ranges follow each other without gaps");
-            named.extend((range.from..range.to).map(|_| (range.version, range.engine.clone())));
+            assert_eq!(range.from as usize, actual.len(), "ranges are contiguous");
+            actual.extend((range.from..range.to).map(|_| (range.version, range.engine.clone())));
         }
-        assert_eq!(named, truth);
+        assert_eq!(actual, expected);
     });
 }
 
 #[test]
-fn parts_of_a_stream_come_out_in_order_once_or_the_gap_is_reported() {
+fn stream_parts_are_returned_in_order_once_or_the_gap_is_reported() {
     for_seeds(1_000, |seed| {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let mut reassembler = StreamReassembler::new(8);
@@ -99,7 +106,7 @@
 }
 
 #[test]
-fn a_group_completes_once_with_every_sample_whatever_fails() {
+fn a_group_completes_once_with_every_sample_despite_failures() {
     for_seeds(500, |seed| {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let settings = GroupSettings { max_attempts: 1_000, ..GroupSettings::default() };
@@ -114,7 +121,7 @@
                     GroupAction::Start { index, attempt, .. } => running.push((index, attempt)),
                     GroupAction::Cancel { index, attempt } => running.retain(|entry| *entry != (index, attempt)),
                     GroupAction::Complete => completions += 1,
-                    GroupAction::GiveUp => panic!("attempts are not used up"),
+                    GroupAction::GiveUp => panic!("no sample uses up its attempts"),
                 }
             }
             event = match running.is_empty() || random.random_ratio(1, 2) {
--- a/crates/trestlerack/tests/uneven_steps.rs
+++ b/crates/trestlerack/tests/uneven_steps.rs
@@ -8,13 +8,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 use trestlerack::process::{MOVE_SLOWNESS, RunMove, ServerBoard, ServerEntry, ServerNeed, ServerRoom};
-use trestlerack::request::{ItemEvent, JobItem, JobLedger, JobSpec, LedgerSettings, RunEnd, RunLane};
+use trestlerack::request::{ItemEvent, JobItem, JobSpec, JobTracker, RunEnd, RunKind, TrackerSettings};
 use trestlerack::{Name, Timestamp};
 
 const PACE: Duration = Duration::from_millis(40);
 
 /// A step of `groups` groups of two items each, of which its trainer waits for `target`.
-fn step(groups: usize, target: u32, hint: u64) -> JobLedger {
+fn step(groups: usize, target: u32, hint: u64) -> JobTracker {
     let item = |number: usize| JobItem {
         id: format!("item-{number}").into(),
         group: format!("group-{}", number / 2).into(),
@@ -36,26 +36,26 @@
         target_groups: target,
         items: (0..2 * groups).map(item).collect(),
     };
-    JobLedger::new(Arc::new(spec), LedgerSettings::default(), Vec::new(), HashMap::new())
+    JobTracker::new(Arc::new(spec), TrackerSettings::default(), Vec::new(), HashMap::new())
 }
 
-fn make_events(ledger: &mut JobLedger, index: usize, events: u64) {
+fn make_events(ledger: &mut JobTracker, index: usize, events: u64) {
     ledger.start(index, &"engine".into());
     for number in 1..=events {
         let event = ItemEvent { number, data: "e".into(), version: None };
-        ledger.append(index, RunLane::Main, &event, Some(1)).unwrap();
+        ledger.append(index, RunKind::Primary, &event, Some(1)).unwrap();
     }
 }
 
-fn list(ledger: &mut JobLedger, index: usize, events: u64) {
+fn list(ledger: &mut JobTracker, index: usize, events: u64) {
     make_events(ledger, index, events);
     assert!(ledger.end_run(Timestamp(0), index, RunEnd::Whole));
-    ledger.settle(index, None);
-    ledger.mark_listed(&format!("item-{index}"));
+    ledger.record_score(index, None);
+    ledger.mark_recorded(&format!("item-{index}"));
 }
 
-fn last_wanted(ledger: &JobLedger) -> Vec<Name> {
-    let mut groups: Vec<Name> = ledger.last_wanted().into_iter().collect();
+fn final_groups(ledger: &JobTracker) -> Vec<Name> {
+    let mut groups: Vec<Name> = ledger.final_groups().into_iter().collect();
     groups.sort();
     groups
 }
@@ -63,32 +63,36 @@
 #[test]
 fn the_last_groups_of_a_step_are_those_nearest_to_be_whole() {
     let mut ledger = step(10, 8, 20);
-    assert!(last_wanted(&ledger).is_empty(), "all are wanted alike");
+    assert!(final_groups(&ledger).is_empty(), "all are wanted alike");
     (0..10).for_each(|index| list(&mut ledger, index, 5));
-    assert!(last_wanted(&ledger).is_empty(), "three of eight are still to come");
+    assert!(final_groups(&ledger).is_empty(), "three of eight are still to come");
     list(&mut ledger, 10, 5);
     list(&mut ledger, 11, 5);
     list(&mut ledger, 12, 5);
-    assert_eq!(last_wanted(&ledger).len(), 4, "two to come: one near, and any of the others");
+    assert_eq!(final_groups(&ledger).len(), 4, "two to come: one near, and any of the others");
     list(&mut ledger, 14, 5);
-    assert_eq!(last_wanted(&ledger), ["group-6", "group-7"].map(Name::from));
+    assert_eq!(final_groups(&ledger), ["group-6", "group-7"].map(Name::from));
     list(&mut ledger, 13, 5);
     list(&mut ledger, 15, 5);
-    assert!(last_wanted(&ledger).is_empty(), "the trainer has what it waits for");
+    assert!(final_groups(&ledger).is_empty(), "the trainer has what it waits for");
     let mut untrained = step(4, 0, 20);
     (0..6).for_each(|index| list(&mut untrained, index, 5));
-    assert!(last_wanted(&untrained).is_empty(), "no step waits");
+    assert!(final_groups(&untrained).is_empty(), "no step waits");
 }
 
 #[test]
 fn the_length_of_a_text_is_learnt_from_those_that_are_whole() {
     let mut ledger = step(2, 2, 40);
     make_events(&mut ledger, 1, 5);
-    assert_eq!((ledger.share_made(1), ledger.events_left(1)), (5.0 / 40.0, Some(35.0)), "a token an event at first");
+    assert_eq!(
+        (ledger.generated_fraction(1), ledger.remaining_events(1)),
+        (5.0 / 40.0, Some(35.0)),
+        "a token an event at first"
+    );
     list(&mut ledger, 0, 10);
-    assert_eq!((ledger.share_made(1), ledger.events_left(1)), (0.5, Some(5.0)));
+    assert_eq!((ledger.generated_fraction(1), ledger.remaining_events(1)), (0.5, Some(5.0)));
     assert!(!ledger.was_preempted(1));
-    ledger.note_preempted(1);
+    ledger.mark_preempted(1);
     assert!(ledger.was_preempted(1));
 }
 
--- a/crates/trestlerackd/src/connection/link_server.rs
+++ b/crates/trestlerackd/src/connection/link_server.rs
@@ -95,18 +95,18 @@
     async fn handle(self: Arc<Self>, node: &Arc<Node>, frame: LinkFrame) {
         match frame {
             LinkFrame::Hello { node: peer } => *self.peer.lock().unwrap() = peer,
-            LinkFrame::Probe { id, heartbeat, generation, backends, strikes } => {
-                content_gate::hear_strikes(node, &strikes);
-                member_loop::hear(node, heartbeat, generation, backends);
+            LinkFrame::Probe { id, heartbeat, generation, drain_updates, crash_reports } => {
+                content_gate::hear_strikes(node, &crash_reports);
+                member_loop::hear(node, heartbeat, generation, drain_updates);
                 self.answer_probe(node, id).await;
             }
             LinkFrame::ConfigFetch { after } => self.send_config(node, after).await,
             LinkFrame::ConfigDeltas(deltas) => config_loop::take_deltas(node, deltas, None),
             LinkFrame::ConfigSnapshot(snapshot) => config_loop::take_snapshot(node, snapshot),
             LinkFrame::Target(target) => rollout_loop::accept_target(node, target),
-            LinkFrame::CampaignNudge { .. } => node.steps.nudge(),
-            LinkFrame::ModelNudge { .. } => node.leases.nudge(),
-            LinkFrame::GroupWanted(wanted) => group_runner::begin(node, wanted),
+            LinkFrame::CheckCampaign { .. } => node.steps.nudge(),
+            LinkFrame::WeightsPublished { .. } => node.leases.nudge(),
+            LinkFrame::GroupRequest(wanted) => group_runner::begin(node, wanted),
             LinkFrame::Call { id, spec } => self.start_call(node, id, *spec),
             LinkFrame::Cancel { id } => self.cancel(id),
             LinkFrame::SpoolCopy { key, content } => {
@@ -120,9 +120,9 @@
     async fn answer_probe(&self, node: &Arc<Node>, id: u64) {
         let heartbeat = node.membership.lock().unwrap().heartbeat();
         let generation = node.config.current().generation;
-        let backends = node.desks.take_news();
-        let strikes = content_gate::probe_strikes(node);
-        let answer = LinkFrame::ProbeAnswer { id, heartbeat, generation, backends, strikes };
+        let drain_updates = node.desks.take_news();
+        let crash_reports = content_gate::probe_strikes(node);
+        let answer = LinkFrame::ProbeAnswer { id, heartbeat, generation, drain_updates, crash_reports };
         // A closed link ends the session; there is nobody left to answer.
         let _ = self.outbox.send(answer).await;
     }
--- a/crates/trestlerackd/src/entry/adoption.rs
+++ b/crates/trestlerackd/src/entry/adoption.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use trestlerack::interfaces::StoreError;
 use trestlerack::process::{node_partition, successor_rank};
-use trestlerack::request::JobHead;
+use trestlerack::request::JobRecord;
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall, StoreReply};
 use trestlerack::{Name, Timestamp, event};
 
@@ -76,11 +76,11 @@
 fn open_jobs(node: &EntryNode) -> Vec<(Name, JobView)> {
     let drivers = node.drivers.lock().unwrap();
     let jobs = node.jobs.lock().unwrap();
-    let is_open = |id: &Name, view: &JobView| !view.is_ended && !view.head.is_whole() && !drivers.contains_key(id);
+    let is_open = |id: &Name, view: &JobView| !view.is_ended && !view.head.is_complete() && !drivers.contains_key(id);
     jobs.iter().filter(|(id, view)| is_open(id, view)).map(|(id, view)| (id.clone(), view.clone())).collect()
 }
 
-fn is_own(node: &EntryNode, head: &JobHead) -> bool {
+fn is_own(node: &EntryNode, head: &JobRecord) -> bool {
     head.owner == node.settings.name && head.incarnation == node.incarnation
 }
 
@@ -103,7 +103,7 @@
     true
 }
 
-async fn read_head(node: &Arc<EntryNode>, job: &Name) -> Result<(JobHead, u64, bool), StoreError> {
+async fn read_head(node: &Arc<EntryNode>, job: &Name) -> Result<(JobRecord, u64, bool), StoreError> {
     let rows = tables::read_all(&node.store, tables::STATE, job).await?;
     let is_ended = rows.iter().any(|row| &*row.key == tables::END);
     let row = rows.into_iter().find(|row| &*row.key == tables::HEAD).ok_or(StoreError::Unknown)?;
@@ -112,7 +112,7 @@
 
 /// Asks the owner of a job that was just accepted to drive it, and takes the job over if the
 /// owner does not.
-pub async fn ensure_driven(node: Arc<EntryNode>, job: Name, head: JobHead) {
+pub async fn ensure_driven(node: Arc<EntryNode>, job: Name, head: JobRecord) {
     for _ in 0..STRIKES {
         if node.peers.drive(&head.owner_address, &job).await == Some(true) {
             return;
@@ -203,7 +203,7 @@
         return Ok(false);
     }
     let spec = Arc::new(job_calls::load_spec(node, job, &held).await?);
-    let head = JobHead {
+    let head = JobRecord {
         owner: node.settings.name.clone(),
         owner_address: node.settings.peer_listen.clone(),
         incarnation: node.incarnation,
@@ -219,7 +219,7 @@
     match node.store.call(&StoreCall::Commit(transaction)).await? {
         StoreReply::Committed(moment) => {
             let fields: [(&str, &dyn std::fmt::Display); 4] =
-                [("job", job), ("from", &held.owner), ("fence", &head.fence), ("listed", &head.listed)];
+                [("job", job), ("from", &held.owner), ("fence", &head.fence), ("listed", &head.recorded)];
             logs::write(event::JOB_TAKEN, &fields);
             node.learn_head(head.clone(), moment.version, job);
             job_driver::start(node, spec, head, moment.version);
--- a/crates/trestlerackd/src/entry/engine_memory.rs
+++ b/crates/trestlerackd/src/entry/engine_memory.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use trestlerack::event;
 use trestlerack::process::ServerNeed;
-use trestlerack::request::JobLedger;
+use trestlerack::request::JobTracker;
 use trestlerack::version::RequestRoute;
 
 /// Time for which an item is put off that an engine refused and that is expected to need more than any
@@ -66,9 +66,9 @@
 }
 
 /// Puts an item off that an engine refused, if it was found to be too large for any.
-pub fn put_off_oversize(node: &EntryNode, driver: &JobDriver, ledger: &mut JobLedger, index: usize) {
+pub fn put_off_oversize(node: &EntryNode, driver: &JobDriver, ledger: &mut JobTracker, index: usize) {
     if driver.oversize.lock().unwrap().contains(&index) {
-        ledger.put_off(index, node.now() + OVERSIZE_PAUSE);
+        ledger.defer(index, node.now() + OVERSIZE_PAUSE);
     }
 }
 
--- a/crates/trestlerackd/src/entry/feeds.rs
+++ b/crates/trestlerackd/src/entry/feeds.rs
@@ -156,7 +156,7 @@
 /// Returns whether a partition is that of a job whose rows do not change any more, as far as this
 /// node knows. Ended jobs stay for a while, and reading all of them again would take seconds.
 fn is_over(node: &EntryNode, partition: &str) -> bool {
-    node.job(partition).is_some_and(|view| view.is_ended || view.head.is_whole())
+    node.job(partition).is_some_and(|view| view.is_ended || view.head.is_complete())
 }
 
 async fn list_partitions(node: &Arc<EntryNode>, table: &str) -> Result<(Vec<Name>, u64), StoreError> {
--- a/crates/trestlerackd/src/entry/item_run.rs
+++ b/crates/trestlerackd/src/entry/item_run.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use trestlerack::process::{EventPace, RunLimits, shows_preemption};
-use trestlerack::request::{JobItem, RunEnd, RunLane};
+use trestlerack::request::{JobItem, RunEnd, RunKind};
 use trestlerack::version::WeightVersion;
 use trestlerack::{Name, event};
 use trestlerack_platform::{EngineRequest, EventDecoder};
@@ -31,7 +31,7 @@
     /// Position of the item in its job.
     pub index: usize,
     /// Which of its runs this is.
-    pub lane: RunLane,
+    pub lane: RunKind,
     /// Rank that the run states at its engine.
     pub rank: Option<u8>,
 }
@@ -39,7 +39,7 @@
 /// A run and what is noted of it for the log.
 struct RunTrace {
     index: usize,
-    lane: RunLane,
+    lane: RunKind,
     rank: Option<u8>,
     events: u64,
     longest_gap: Duration,
@@ -85,11 +85,11 @@
     let item = &driver.spec.items[trace.index];
     let instance = ticket.server.instance.clone();
     let (resume_after, exact_version) = match trace.lane {
-        RunLane::Main => {
+        RunKind::Primary => {
             let ledger = driver.ledger.lock().unwrap();
             (ledger.transcript(trace.index).last_event, ledger.pinned_version(trace.index))
         }
-        RunLane::Spare => (None, None),
+        RunKind::Speculative => (None, None),
     };
     let request = EngineRequest {
         method: Method::POST,
@@ -233,11 +233,11 @@
 /// Takes note of a pause that shows that the engine preempted the run.
 fn note_preemption(node: &EntryNode, driver: &JobDriver, trace: &RunTrace, service: &str, gap: Duration) {
     // Most pauses are shorter than the longest one so far, which needs no second look.
-    if gap <= trace.longest_gap || trace.lane == RunLane::Spare {
+    if gap <= trace.longest_gap || trace.lane == RunKind::Speculative {
         return;
     }
     let usual = node.board.lock().unwrap().typical_pace(node.now(), service);
     if shows_preemption(gap, usual) {
-        driver.ledger.lock().unwrap().note_preempted(trace.index);
+        driver.ledger.lock().unwrap().mark_preempted(trace.index);
     }
 }
--- a/crates/trestlerackd/src/entry/job_accept.rs
+++ b/crates/trestlerackd/src/entry/job_accept.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use trestlerack::interfaces::StoreError;
 use trestlerack::process::{HeldPurpose, NodeRow, OwnerCandidate, choose_job_owner};
-use trestlerack::request::{JobHead, JobSpec};
+use trestlerack::request::{JobRecord, JobSpec};
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall, StoreReply};
 use trestlerack::version::RequestRoute;
 use trestlerack::{Name, event};
@@ -92,7 +92,7 @@
         put_object(node, spec, &content).await?;
     }
     let spec_rows = if in_rows { content.len().div_ceil(node.settings.store_row_bytes).max(1) } else { 0 };
-    let head = JobHead { customer: customer.cloned(), ..new_head(node, spec, spec_rows) };
+    let head = JobRecord { customer: customer.cloned(), ..new_head(node, spec, spec_rows) };
     let mut transaction = RowTransaction::new(spec.id.clone()).expect(tables::STATE, tables::HEAD, 0).put(
         tables::STATE,
         tables::HEAD,
@@ -125,7 +125,7 @@
 }
 
 /// Tells a repeated submission from another job of the same id; that of another customer is one.
-fn known_job(head: &JobHead, version: u64, spec: &JobSpec, customer: Option<&Name>) -> Result<u64, Refusal> {
+fn known_job(head: &JobRecord, version: u64, spec: &JobSpec, customer: Option<&Name>) -> Result<u64, Refusal> {
     let is_same = head.digest == spec.digest() && head.customer.as_ref() == customer;
     if is_same { Ok(version) } else { Err(Refusal::OtherJob) }
 }
@@ -134,11 +134,11 @@
 fn settle_conflict(
     node: &Arc<EntryNode>,
     spec: &Arc<JobSpec>,
-    own: &JobHead,
+    own: &JobRecord,
     rows: Vec<trestlerack::rows::StoredRow>,
 ) -> Result<u64, Refusal> {
     let Some(row) = rows.into_iter().find(|row| &*row.key == tables::HEAD) else { return Err(Refusal::Unknown) };
-    let head: JobHead = tables::decode(&row.value).map_err(|_| Refusal::Unknown)?;
+    let head: JobRecord = tables::decode(&row.value).map_err(|_| Refusal::Unknown)?;
     let outcome = known_job(&head, row.version, spec, own.customer.as_ref());
     if head.write_id == own.write_id {
         start_accepted(node, spec, head, row.version);
@@ -147,7 +147,7 @@
 }
 
 /// Has a job that was just stored driven by the node that its head names.
-fn start_accepted(node: &Arc<EntryNode>, spec: &Arc<JobSpec>, head: JobHead, version: u64) {
+fn start_accepted(node: &Arc<EntryNode>, spec: &Arc<JobSpec>, head: JobRecord, version: u64) {
     node.learn_head(head.clone(), version, &spec.id);
     if head.owner == node.settings.name {
         job_driver::start(node, spec.clone(), head, version);
@@ -164,7 +164,7 @@
         let head = &view.head;
         if head.model == spec.model && head.host == spec.host {
             newest = newest.max(Some((head.accepted_ms, head.owner.clone())));
-        } else if !view.is_ended && !head.is_whole() {
+        } else if !view.is_ended && !head.is_complete() {
             driven.entry(head.owner.clone()).or_default().insert(head.model.clone());
         }
     }
@@ -188,9 +188,9 @@
     peer.unwrap_or_else(|| (node.settings.name.clone(), node.node_row()))
 }
 
-fn new_head(node: &Arc<EntryNode>, spec: &JobSpec, spec_rows: usize) -> JobHead {
+fn new_head(node: &Arc<EntryNode>, spec: &JobSpec, spec_rows: usize) -> JobRecord {
     let (owner, row) = choose_owner(node, spec);
-    JobHead {
+    JobRecord {
         owner,
         owner_address: row.address,
         incarnation: row.incarnation,
@@ -199,7 +199,7 @@
         accepted_ms: node.store.clock_ms(),
         digest: spec.digest(),
         total: spec.items.len(),
-        listed: 0,
+        recorded: 0,
         spec_rows,
         host: spec.host.clone(),
         path: spec.path.clone(),
--- a/crates/trestlerackd/src/entry/job_calls.rs
+++ b/crates/trestlerackd/src/entry/job_calls.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use trestlerack::interfaces::StoreError;
-use trestlerack::request::{JobHead, JobResult, JobSpec};
+use trestlerack::request::{JobRecord, JobResult, JobSpec};
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall, StoreReply};
 use trestlerack::{Name, Timestamp, event};
 use trestlerack_platform as platform;
@@ -95,7 +95,7 @@
         Ok(view) => view,
         Err(doubt) => return doubt_reply(&doubt, request, job),
     };
-    let results = if view.head.listed > from {
+    let results = if view.head.recorded > from {
         match load_results(node, job, from).await {
             Ok(results) => results,
             Err(_) => return doubt_reply(&JobDoubt::Unsure, request, job),
@@ -103,7 +103,7 @@
     } else {
         Vec::new()
     };
-    if view.head.listed > from && results.is_empty() {
+    if view.head.recorded > from && results.is_empty() {
         return doubt_reply(&JobDoubt::Unsure, request, job);
     }
     let page = platform::JobRead { total: view.head.total, from, results };
@@ -131,9 +131,9 @@
     let mut news = node.job_news.subscribe();
     loop {
         let view = find_job(node, job).await?;
-        let has_more = view.head.listed > from;
+        let has_more = view.head.recorded > from;
         let now = node.now();
-        if has_more || view.head.is_whole() {
+        if has_more || view.head.is_complete() {
             return Ok(view);
         }
         if view.is_ended {
@@ -210,7 +210,7 @@
 }
 
 /// Reads a submission back.
-pub async fn load_spec(node: &Arc<EntryNode>, job: &Name, head: &JobHead) -> Result<JobSpec, StoreError> {
+pub async fn load_spec(node: &Arc<EntryNode>, job: &Name, head: &JobRecord) -> Result<JobSpec, StoreError> {
     if head.spec_rows == 0 {
         return match node.store.call(&StoreCall::GetObject { name: spec_object(job, head.digest) }).await? {
             StoreReply::Object(Some(content)) => tables::decode(&content),
@@ -237,7 +237,7 @@
             logs::write(event::JOB_READ_FAILED, &[("job", job), ("why", &"the end cannot be stored")]);
             return own_reply(StatusCode::BAD_GATEWAY, id);
         }
-        logs::write(event::JOB_ENDED, &[("job", job), ("listed", &view.head.listed), ("total", &view.head.total)]);
+        logs::write(event::JOB_ENDED, &[("job", job), ("listed", &view.head.recorded), ("total", &view.head.total)]);
         node.learn_end(job);
         tokio::spawn(tell_owner(node.clone(), job.clone(), view.head.owner_address.clone()));
     }
--- a/crates/trestlerackd/src/entry/job_driver.rs
+++ b/crates/trestlerackd/src/entry/job_driver.rs
@@ -12,7 +12,7 @@
 use tokio::task::AbortHandle;
 use trestlerack::process::{HeldBytes, HeldPurpose, ServerNeed, TokenNeed};
 use trestlerack::request::{
-    JobHead, JobItem, JobLedger, JobSpec, LedgerSettings, RequestContent, RequestFingerprint, RunEnd, RunLane,
+    JobItem, JobRecord, JobSpec, JobTracker, RequestContent, RequestFingerprint, RunEnd, RunKind, TrackerSettings,
 };
 use trestlerack::version::RoutingTable;
 use trestlerack::{Name, Timestamp, event};
@@ -67,13 +67,13 @@
     /// Items that were logged as held.
     pub held: Mutex<HashSet<usize>>,
     /// State of its items.
-    pub ledger: Mutex<JobLedger>,
+    pub ledger: Mutex<JobTracker>,
     /// Wakes the driver.
     pub wake: Notify,
     /// Wakes what records results.
     pub record: Notify,
     /// Runs in progress.
-    pub runs: Mutex<HashMap<(usize, RunLane), ItemRun>>,
+    pub runs: Mutex<HashMap<(usize, RunKind), ItemRun>>,
     /// Items whose score calls are in progress.
     pub scoring: Mutex<HashSet<usize>>,
     /// Bytes of its specification.
@@ -86,7 +86,7 @@
 }
 
 impl JobDriver {
-    fn new(spec: Arc<JobSpec>, head: &JobHead, ledger: JobLedger, memory: HeldBytes) -> Self {
+    fn new(spec: Arc<JobSpec>, head: &JobRecord, ledger: JobTracker, memory: HeldBytes) -> Self {
         let customer = head.customer.clone();
         let fingerprint = |item: &JobItem| {
             let customer = customer.as_deref();
@@ -182,7 +182,7 @@
     /// Takes a run out to be moved, if it has been on its engine for long enough.
     pub fn take_run(&self, now: Timestamp, index: usize) -> Option<AbortHandle> {
         let mut runs = self.runs.lock().unwrap();
-        let key = (index, RunLane::Main);
+        let key = (index, RunKind::Primary);
         let is_due = runs.get(&key).is_some_and(|run| now.since(run.started) >= run_moves::MOVE_AGE);
         if is_due { runs.remove(&key).map(|run| run.handle) } else { None }
     }
@@ -190,38 +190,38 @@
     /// Ends up to `most` second runs. Returns how many it ended.
     pub fn cancel_spares(&self, most: usize) -> usize {
         let mut runs = self.runs.lock().unwrap();
-        let spares = runs.keys().filter(|(_, lane)| *lane == RunLane::Spare).take(most);
-        let spares: Vec<(usize, RunLane)> = spares.copied().collect();
+        let spares = runs.keys().filter(|(_, lane)| *lane == RunKind::Speculative).take(most);
+        let spares: Vec<(usize, RunKind)> = spares.copied().collect();
         let ended: Vec<ItemRun> = spares.iter().filter_map(|key| runs.remove(key)).collect();
         drop(runs);
         ended.iter().for_each(|run| run.handle.abort());
         let mut ledger = self.ledger.lock().unwrap();
         spares.iter().for_each(|(index, _)| {
-            ledger.end_spare(*index, RunEnd::Broken);
+            ledger.end_speculative(*index, RunEnd::Broken);
         });
         ended.len()
     }
 
     fn cancel_runs(&self, now: Timestamp) {
-        let runs: Vec<((usize, RunLane), ItemRun)> = self.runs.lock().unwrap().drain().collect();
+        let runs: Vec<((usize, RunKind), ItemRun)> = self.runs.lock().unwrap().drain().collect();
         let mut ledger = self.ledger.lock().unwrap();
         for ((index, lane), run) in runs {
             run.handle.abort();
             match lane {
-                RunLane::Main => ledger.end_run(now, index, RunEnd::Broken),
-                RunLane::Spare => ledger.end_spare(index, RunEnd::Broken),
+                RunKind::Primary => ledger.end_run(now, index, RunEnd::Broken),
+                RunKind::Speculative => ledger.end_speculative(index, RunEnd::Broken),
             };
         }
     }
 }
 
 /// Starts to drive a job that this node owns, unless it does already.
-pub fn start(node: &Arc<EntryNode>, spec: Arc<JobSpec>, head: JobHead, version: u64) {
+pub fn start(node: &Arc<EntryNode>, spec: Arc<JobSpec>, head: JobRecord, version: u64) {
     if node.drivers.lock().unwrap().contains_key(&spec.id) {
         return;
     }
     let node = node.clone();
-    let ledger = JobLedger::new(spec.clone(), LedgerSettings::default(), Vec::new(), HashMap::new());
+    let ledger = JobTracker::new(spec.clone(), TrackerSettings::default(), Vec::new(), HashMap::new());
     // What was accepted is kept in any case, and counted so that others make room for it.
     let mut memory = node.held.ledger.count(HeldPurpose::Texts, spec.bytes());
     if let Some(customer) = &head.customer {
@@ -251,7 +251,7 @@
 
 /// Returns what the configuration says of a job. A process that has just started may be given a job before it
 /// knows the configuration, and would give up items by other bounds.
-async fn wait_for_settings(node: &EntryNode, spec: &JobSpec) -> LedgerSettings {
+async fn wait_for_settings(node: &EntryNode, spec: &JobSpec) -> TrackerSettings {
     loop {
         match node.routing() {
             Some(routing) => return ledger_settings(&routing, spec),
@@ -260,12 +260,12 @@
     }
 }
 
-fn ledger_settings(routing: &RoutingTable, spec: &JobSpec) -> LedgerSettings {
-    let defaults = LedgerSettings::default();
+fn ledger_settings(routing: &RoutingTable, spec: &JobSpec) -> TrackerSettings {
+    let defaults = TrackerSettings::default();
     let route = routing.select(&spec.host, &spec.path);
     let scorer = spec.items.first().and_then(|item| item.scorer.as_ref());
     let score_route = scorer.and_then(|scorer| routing.select(&scorer.host, &scorer.path));
-    LedgerSettings {
+    TrackerSettings {
         max_failures: route.map_or(defaults.max_failures, |route| route.max_attempts),
         max_score_failures: score_route.map_or(defaults.max_score_failures, |route| route.max_attempts),
         single_version: route.is_some_and(|route| route.single_version),
@@ -273,13 +273,13 @@
     }
 }
 
-async fn drive(node: &Arc<EntryNode>, driver: &Arc<JobDriver>, head: JobHead, version: u64) {
+async fn drive(node: &Arc<EntryNode>, driver: &Arc<JobDriver>, head: JobRecord, version: u64) {
     let job = driver.spec.id.clone();
-    logs::write(event::JOB_DRIVEN, &[("job", &job), ("fence", &head.fence), ("listed", &head.listed)]);
+    logs::write(event::JOB_DRIVEN, &[("job", &job), ("fence", &head.fence), ("listed", &head.recorded)]);
     let text_log = tokio::spawn(job_texts::log_texts(node.clone(), driver.clone(), head.fence));
     let recorder = tokio::spawn(job_records::record_results(node.clone(), driver.clone(), head, version));
     let mut told_at = node.now();
-    while driver.mode() == DriveMode::Drive && !driver.ledger.lock().unwrap().is_whole() {
+    while driver.mode() == DriveMode::Drive && !driver.ledger.lock().unwrap().is_complete() {
         if node.now().since(told_at) >= TELL_INTERVAL {
             told_at = node.now();
             tell_progress(node, driver);
@@ -320,8 +320,8 @@
         ("waiting", &progress.waiting),
         ("running", &progress.running),
         ("scoring", &progress.scoring),
-        ("settled", &progress.settled),
-        ("listed", &progress.listed),
+        ("settled", &progress.finished),
+        ("listed", &progress.recorded),
         ("engines", &engines),
     ];
     logs::write(event::JOB_PROGRESS, &fields);
--- a/crates/trestlerackd/src/entry/job_records.rs
+++ b/crates/trestlerackd/src/entry/job_records.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use trestlerack::Name;
 use trestlerack::interfaces::StoreError;
-use trestlerack::request::{JobHead, JobResult};
+use trestlerack::request::{JobRecord, JobResult};
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall, StoreReply};
 
 /// Pause before a write that failed is sent again.
@@ -19,20 +19,20 @@
 pub async fn record_results(
     node: Arc<EntryNode>,
     driver: Arc<JobDriver>,
-    mut head: JobHead,
+    mut head: JobRecord,
     mut version: u64,
-) -> Option<(JobHead, u64)> {
+) -> Option<(JobRecord, u64)> {
     loop {
-        let batch = driver.ledger.lock().unwrap().take_ready(tables::COMMIT_ROWS / 2, tables::COMMIT_BYTES / 2);
+        let batch = driver.ledger.lock().unwrap().take_results(tables::COMMIT_ROWS / 2, tables::COMMIT_BYTES / 2);
         if batch.is_empty() {
-            let is_over = !driver.is_driving() || driver.ledger.lock().unwrap().is_whole();
+            let is_over = !driver.is_driving() || driver.ledger.lock().unwrap().is_complete();
             if is_over {
                 return Some((head, version));
             }
             driver.record.notified().await;
             continue;
         }
-        let next = JobHead { write_id: node.write_id(), listed: head.listed + batch.len(), ..head.clone() };
+        let next = JobRecord { write_id: node.write_id(), recorded: head.recorded + batch.len(), ..head.clone() };
         let transaction = result_writes(&node, &driver.spec.id, &head, version, &batch, &next);
         match commit_head(&node, &driver, transaction, &next).await {
             Some(committed) => {
@@ -45,7 +45,7 @@
             }
         }
         let mut ledger = driver.ledger.lock().unwrap();
-        batch.iter().for_each(|result| ledger.mark_listed(&result.id));
+        batch.iter().for_each(|result| ledger.mark_recorded(&result.id));
         drop(ledger);
         node.metrics.results(batch.len());
         node.learn_head(head.clone(), version, &driver.spec.id);
@@ -56,10 +56,10 @@
 fn result_writes(
     node: &EntryNode,
     job: &Name,
-    head: &JobHead,
+    head: &JobRecord,
     version: u64,
     batch: &[JobResult],
-    next: &JobHead,
+    next: &JobRecord,
 ) -> RowTransaction {
     let mut transaction = RowTransaction::new(job.clone()).expect(tables::STATE, tables::HEAD, version).put(
         tables::STATE,
@@ -68,7 +68,7 @@
     );
     for (offset, result) in batch.iter().enumerate() {
         let content = tables::encode(result);
-        let key = result_key(head.listed + offset);
+        let key = result_key(head.recorded + offset);
         transaction = tables::put_pieces(transaction, tables::RESULTS, &key, &content, node.settings.store_row_bytes);
     }
     transaction
@@ -80,7 +80,7 @@
     node: &Arc<EntryNode>,
     driver: &JobDriver,
     transaction: RowTransaction,
-    next: &JobHead,
+    next: &JobRecord,
 ) -> Option<u64> {
     let call = StoreCall::Commit(transaction);
     for failures in 1.. {
@@ -88,7 +88,7 @@
             Ok(StoreReply::Committed(moment)) => return Some(moment.version),
             Ok(StoreReply::Conflict(rows)) => {
                 let row = rows.into_iter().find(|row| &*row.key == tables::HEAD)?;
-                let held: JobHead = tables::decode(&row.value).ok()?;
+                let held: JobRecord = tables::decode(&row.value).ok()?;
                 // An earlier try of the same write may have been applied without its reply.
                 return (held.write_id == next.write_id).then_some(row.version);
             }
--- a/crates/trestlerackd/src/entry/job_runs.rs
+++ b/crates/trestlerackd/src/entry/job_runs.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use trestlerack::process::{ServerEntry, ServerNeed, ServerRoom};
-use trestlerack::request::{ItemPhase, JobLedger, RequestFingerprint, RunEnd, RunLane};
+use trestlerack::request::{ItemPhase, JobTracker, RequestFingerprint, RunEnd, RunKind};
 use trestlerack::version::{RequestRoute, RoutingTable};
 use trestlerack::{Name, event};
 
@@ -56,7 +56,7 @@
     if waiting.is_empty() {
         return;
     }
-    let last = ledger.last_wanted();
+    let last = ledger.final_groups();
     for (placed, index) in waiting.iter().copied().enumerate() {
         let item = &driver.spec.items[index];
         if hold_back(node, driver, &mut ledger, index) {
@@ -69,7 +69,7 @@
         let board = node.board.lock().unwrap();
         if need.pinned.is_some() && board.count(now, &need) == 0 {
             // Nobody holds that version any more.
-            ledger.restart(index);
+            ledger.discard_text(index);
             need.pinned = None;
         }
         drop(board);
@@ -122,13 +122,13 @@
 
 /// Puts an item off whose content is held, or ended servers so lately that it is to be judged first.
 /// Returns whether it does.
-fn hold_back(node: &Arc<EntryNode>, driver: &JobDriver, ledger: &mut JobLedger, index: usize) -> bool {
+fn hold_back(node: &Arc<EntryNode>, driver: &JobDriver, ledger: &mut JobTracker, index: usize) -> bool {
     let fingerprint = driver.fingerprints[index];
     let wait = suspects::wait_time(node, fingerprint);
     if wait.is_zero() {
         return false;
     }
-    ledger.put_off(index, node.now() + HELD_PAUSE.min(wait));
+    ledger.defer(index, node.now() + HELD_PAUSE.min(wait));
     let Some(left) = suspects::held_for(node, fingerprint) else { return true };
     if driver.held.lock().unwrap().insert(index) {
         suspects::log_held(node, &driver.spec.items[index].id, fingerprint, left);
@@ -170,11 +170,11 @@
 pub fn start_run(
     node: &Arc<EntryNode>,
     driver: &Arc<JobDriver>,
-    ledger: &mut JobLedger,
+    ledger: &mut JobTracker,
     index: usize,
     engine: ServerEntry,
 ) {
-    let lane = RunLane::Main;
+    let lane = RunKind::Primary;
     let rank = urgency::of_item(node, driver, ledger, &engine.service, index, lane);
     ledger.start(index, &engine.instance);
     spawn_run(node, driver, RunStart { index, lane, rank }, engine);
@@ -212,15 +212,15 @@
     let mut ledger = driver.ledger.lock().unwrap();
     // A second run of a suspect would be one more engine that ends.
     let is_clear = |(index, _): &(usize, Name)| !suspects::is_suspect(node, driver.fingerprints[*index]);
-    let Some((index, engine)) = ledger.spare_candidates(newest).into_iter().find(is_clear) else { return };
+    let Some((index, engine)) = ledger.speculation_candidates(newest).into_iter().find(is_clear) else { return };
     let Some(need) = item_need(node, driver, route, index, Some(&model)) else { return };
     let avoid = std::slice::from_ref(&engine);
     let need = ServerNeed { weights: Some((&model, newest)), room: ServerRoom::Half, avoid, ..need };
     let entry = node.board.lock().unwrap().choose(node.now(), &need).map(|belief| belief.entry.clone());
     let Some(entry) = entry else { return };
-    let lane = RunLane::Spare;
+    let lane = RunKind::Speculative;
     let rank = urgency::of_item(node, driver, &ledger, &entry.service, index, lane);
-    ledger.start_spare(index, &entry.instance);
+    ledger.start_speculative(index, &entry.instance);
     drop(ledger);
     spawn_run(node, driver, RunStart { index, lane, rank }, entry);
 }
@@ -232,21 +232,21 @@
 }
 
 /// Takes note of the end of a run, from the run's own task.
-pub fn run_ended(node: &Arc<EntryNode>, driver: &Arc<JobDriver>, index: usize, lane: RunLane, end: RunEnd) {
+pub fn run_ended(node: &Arc<EntryNode>, driver: &Arc<JobDriver>, index: usize, lane: RunKind, end: RunEnd) {
     let mut runs = driver.runs.lock().unwrap();
     runs.remove(&(index, lane));
     let mut ledger = driver.ledger.lock().unwrap();
     let (is_whole, other) = match lane {
-        RunLane::Main => {
+        RunKind::Primary => {
             let is_whole = ledger.end_run(node.now(), index, end);
             if end == RunEnd::NotRun {
                 engine_memory::put_off_oversize(node, driver, &mut ledger, index);
             }
-            (is_whole, RunLane::Spare)
+            (is_whole, RunKind::Speculative)
         }
-        RunLane::Spare => (ledger.end_spare(index, end), RunLane::Main),
+        RunKind::Speculative => (ledger.end_speculative(index, end), RunKind::Primary),
     };
-    let is_settled = *ledger.phase(index) == ItemPhase::Settled;
+    let is_settled = *ledger.phase(index) == ItemPhase::Finished;
     drop(ledger);
     // A whole text needs no second run.
     let needless = if is_whole || is_settled { runs.remove(&(index, other)) } else { None };
--- a/crates/trestlerackd/src/entry/job_scores.rs
+++ b/crates/trestlerackd/src/entry/job_scores.rs
@@ -55,7 +55,7 @@
 
 async fn score_item(node: Arc<EntryNode>, driver: Arc<JobDriver>, index: usize) {
     match &driver.spec.items[index].scorer {
-        None => driver.ledger.lock().unwrap().settle(index, None),
+        None => driver.ledger.lock().unwrap().record_score(index, None),
         Some(call) => loop {
             if !driver.is_driving() || !node.may_start_work() {
                 break;
@@ -63,7 +63,7 @@
             let item = &driver.spec.items[index].id;
             match score_calls::score(&node, item, driver.customer.as_ref(), call).await {
                 ScoreEnd::Scored(signature) => {
-                    driver.ledger.lock().unwrap().settle(index, Some(signature));
+                    driver.ledger.lock().unwrap().record_score(index, Some(signature));
                     break;
                 }
                 ScoreEnd::Failed => {
--- a/crates/trestlerackd/src/entry/job_texts.rs
+++ b/crates/trestlerackd/src/entry/job_texts.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use trestlerack::interfaces::StoreError;
 use trestlerack::request::{
-    ItemTranscript, JobHead, JobLedger, JobResult, JobSpec, KeptItem, LedgerSettings, TextDelta,
+    ItemCheckpoint, ItemTranscript, JobRecord, JobResult, JobSpec, JobTracker, TextDelta, TrackerSettings,
 };
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall, StoredRow};
 use trestlerack::version::WeightVersion;
@@ -33,18 +33,18 @@
 pub async fn load_state(
     node: &Arc<EntryNode>,
     spec: &Arc<JobSpec>,
-    head: &JobHead,
-    settings: LedgerSettings,
-) -> Result<JobLedger, StoreError> {
+    head: &JobRecord,
+    settings: TrackerSettings,
+) -> Result<JobTracker, StoreError> {
     let mut listed: Vec<JobResult> = Vec::new();
-    while listed.len() < head.listed {
+    while listed.len() < head.recorded {
         let page = load_results(node, &spec.id, listed.len()).await?;
         if page.is_empty() {
             return Err(StoreError::Unknown);
         }
         listed.extend(page);
     }
-    let mut kept: HashMap<Name, KeptItem> = HashMap::new();
+    let mut kept: HashMap<Name, ItemCheckpoint> = HashMap::new();
     for job in earlier_jobs(node, spec, head) {
         let first = if job == spec.id { tables::KEPT_LOG } else { tables::KEPT_END };
         // Kept texts only save time, so a job starts without them rather than late.
@@ -57,11 +57,11 @@
     if count > 0 {
         logs::write(event::TEXTS_FOUND, &[("job", &spec.id), ("items", &count)]);
     }
-    Ok(JobLedger::new(spec.clone(), settings, listed, kept))
+    Ok(JobTracker::new(spec.clone(), settings, listed, kept))
 }
 
 /// Returns the job itself and the newest ended jobs of the same model and customer, newest first.
-fn earlier_jobs(node: &EntryNode, spec: &JobSpec, head: &JobHead) -> Vec<Name> {
+fn earlier_jobs(node: &EntryNode, spec: &JobSpec, head: &JobRecord) -> Vec<Name> {
     let jobs = node.jobs.lock().unwrap();
     // The texts of one customer never go into a result of another one, whatever its items are called.
     let is_related = |id: &Name, view: &&JobView| {
@@ -81,13 +81,13 @@
 }
 
 /// Adds kept texts, the longest of each item; rows of several owners of one job may lie there.
-fn merge_kept(kept: &mut HashMap<Name, KeptItem>, rows: Vec<StoredRow>, min_version: WeightVersion) {
+fn merge_kept(kept: &mut HashMap<Name, ItemCheckpoint>, rows: Vec<StoredRow>, min_version: WeightVersion) {
     let mut logged: HashMap<Name, ItemTranscript> = HashMap::new();
     for (key, content) in tables::join_pieces(rows) {
         let merged = if key.starts_with(tables::KEPT_LOG) {
             tables::decode(&content).map(|deltas| join_deltas(&mut logged, deltas))
         } else {
-            let items = tables::decode::<Vec<KeptItem>>(&content);
+            let items = tables::decode::<Vec<ItemCheckpoint>>(&content);
             items.map(|items| items.into_iter().for_each(|item| keep_longer(kept, item, min_version)))
         };
         if let Err(error) = merged {
@@ -95,7 +95,7 @@
         }
     }
     for (id, transcript) in logged {
-        keep_longer(kept, KeptItem { id, transcript, is_whole: false }, min_version);
+        keep_longer(kept, ItemCheckpoint { id, transcript, is_complete: false }, min_version);
     }
 }
 
@@ -111,14 +111,14 @@
 
 /// Keeps the longest text whose versions fit. An item without one is kept too: that it was in an
 /// earlier job says that the client waits for its group.
-fn keep_longer(kept: &mut HashMap<Name, KeptItem>, item: KeptItem, min_version: WeightVersion) {
+fn keep_longer(kept: &mut HashMap<Name, ItemCheckpoint>, item: ItemCheckpoint, min_version: WeightVersion) {
     let item = match item.transcript.fits(min_version) {
         true => item,
-        false => KeptItem { transcript: ItemTranscript::default(), is_whole: false, ..item },
+        false => ItemCheckpoint { transcript: ItemTranscript::default(), is_complete: false, ..item },
     };
-    let is_longer = kept
-        .get(&item.id)
-        .is_none_or(|held| (held.is_whole, held.transcript.last_event) < (item.is_whole, item.transcript.last_event));
+    let is_longer = kept.get(&item.id).is_none_or(|held| {
+        (held.is_complete, held.transcript.last_event) < (item.is_complete, item.transcript.last_event)
+    });
     if is_longer {
         kept.insert(item.id.clone(), item);
     }
@@ -148,8 +148,8 @@
 }
 
 /// Keeps unfinished texts, and gives the job to another node where this one stops.
-pub async fn leave_job(node: &Arc<EntryNode>, driver: &Arc<JobDriver>, head: JobHead, version: u64) {
-    let kept = driver.ledger.lock().unwrap().unfinished();
+pub async fn leave_job(node: &Arc<EntryNode>, driver: &Arc<JobDriver>, head: JobRecord, version: u64) {
+    let kept = driver.ledger.lock().unwrap().checkpoints();
     let job = &driver.spec.id;
     let count = kept.len();
     for (piece, batch) in in_batches(kept).into_iter().enumerate() {
@@ -163,7 +163,7 @@
     }
     logs::write(event::TEXTS_KEPT, &[("job", job), ("items", &count)]);
     if driver.is_handed_over() {
-        let next = JobHead { owner: "".into(), write_id: node.write_id(), ..head };
+        let next = JobRecord { owner: "".into(), write_id: node.write_id(), ..head };
         let transaction = RowTransaction::new(job.clone()).expect(tables::STATE, tables::HEAD, version).put(
             tables::STATE,
             tables::HEAD,
@@ -175,7 +175,7 @@
 }
 
 /// Splits texts so that each batch fits a transaction.
-fn in_batches(kept: Vec<KeptItem>) -> Vec<Vec<KeptItem>> {
+fn in_batches(kept: Vec<ItemCheckpoint>) -> Vec<Vec<ItemCheckpoint>> {
     let (mut batches, mut batch, mut bytes) = (Vec::new(), Vec::new(), 0);
     for item in kept {
         bytes += item.transcript.text.len();
--- a/crates/trestlerackd/src/entry/levels.rs
+++ b/crates/trestlerackd/src/entry/levels.rs
@@ -11,7 +11,7 @@
 use trestlerack::process::{
     FeedLog, LeaseRow, LevelNode, ServerCounts, ServerEntry, choose_followers, follower_count, is_node_partition,
 };
-use trestlerack::request::JobHead;
+use trestlerack::request::JobRecord;
 use trestlerack::rows::StoredRow;
 use trestlerack::{Name, Timestamp, event};
 use trestlerack_platform as platform;
@@ -330,8 +330,8 @@
 
 fn is_same_owner(row: &StoredRow, held: &StoredRow) -> bool {
     let terms = |row: &StoredRow| {
-        let head: JobHead = tables::decode(&row.value).ok()?;
-        let is_whole = head.is_whole();
+        let head: JobRecord = tables::decode(&row.value).ok()?;
+        let is_whole = head.is_complete();
         Some((head.owner, head.incarnation, head.fence, is_whole))
     };
     terms(row) == terms(held)
--- a/crates/trestlerackd/src/entry/node.rs
+++ b/crates/trestlerackd/src/entry/node.rs
@@ -27,7 +27,7 @@
 use trestlerack::process::{
     AnswerTimes, BoardSettings, EndNews, EntrySettings, NodeRow, RegistrySettings, ServerBoard, ServerRegistry,
 };
-use trestlerack::request::JobHead;
+use trestlerack::request::JobRecord;
 use trestlerack::version::{RoutingTable, WeightVersion};
 use trestlerack::{Name, Timestamp};
 
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug)]
 pub struct JobView {
     /// The head row.
-    pub head: JobHead,
+    pub head: JobRecord,
     /// Version of the head row.
     pub version: u64,
     /// Whether the client ended the job.
@@ -244,7 +244,7 @@
     }
 
     /// Takes over a head row that was read or written, unless a newer one is known.
-    pub fn learn_head(&self, head: JobHead, version: u64, job: &Name) {
+    pub fn learn_head(&self, head: JobRecord, version: u64, job: &Name) {
         let now = self.now();
         let mut jobs = self.jobs.lock().unwrap();
         match jobs.get_mut(job) {
--- a/crates/trestlerackd/src/entry/retention.rs
+++ b/crates/trestlerackd/src/entry/retention.rs
@@ -52,7 +52,7 @@
     let retention_ms = node.settings.retention_s * 1_000;
     let jobs = node.jobs.lock().unwrap();
     let is_old = |view: &super::node::JobView| {
-        let is_over = view.is_ended || view.head.is_whole();
+        let is_over = view.is_ended || view.head.is_complete();
         is_over && clock_ms.saturating_sub(view.head.accepted_ms) >= retention_ms
     };
     jobs.iter().filter(|(_, view)| is_old(view)).map(|(id, _)| id.clone()).collect()
--- a/crates/trestlerackd/src/entry/run_moves.rs
+++ b/crates/trestlerackd/src/entry/run_moves.rs
@@ -24,7 +24,7 @@
     let (running, last) = {
         let ledger = driver.ledger.lock().unwrap();
         let has_waiting = ledger.waiting(now).next().is_some();
-        let last = ledger.last_wanted();
+        let last = ledger.final_groups();
         let is_last = |index: usize| last.contains(&driver.spec.items[index].group);
         let mut running: Vec<(usize, Name)> = ledger.running();
         running.retain(|(index, _)| !has_waiting || ledger.is_long(*index) || is_last(*index));
@@ -70,7 +70,7 @@
 ) -> Option<(f64, ServerEntry)> {
     let (pinned, is_long, events_left) = {
         let ledger = driver.ledger.lock().unwrap();
-        (ledger.pinned_version(index), ledger.is_long(index), ledger.events_left(index))
+        (ledger.pinned_version(index), ledger.is_long(index), ledger.remaining_events(index))
     };
     let board = node.board.lock().unwrap();
     let now = node.now();
--- a/crates/trestlerackd/src/entry/urgency.rs
+++ b/crates/trestlerackd/src/entry/urgency.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use trestlerack::Name;
 use trestlerack::process::{CallHistory, ServiceRanks, call_priority, engine_rank};
-use trestlerack::request::{JobLedger, RunLane};
+use trestlerack::request::{JobTracker, RunKind};
 use trestlerack::version::{Customer, RequestRoute, RoutingTable};
 
 /// Returns the rank of a client's request that has `left` of its time and goes on after the event
@@ -38,21 +38,21 @@
 pub fn of_item(
     node: &EntryNode,
     driver: &JobDriver,
-    ledger: &JobLedger,
+    ledger: &JobTracker,
     service: &str,
     index: usize,
-    lane: RunLane,
+    lane: RunKind,
 ) -> Option<u8> {
     let routing = node.routing()?;
     let ranks = ServiceRanks::of(&routing, service);
     let route = routing.select(&driver.spec.host, &driver.spec.path)?;
     let priority = match lane {
-        RunLane::Main => call_priority(customer(&routing, driver.customer.as_ref()), route),
-        RunLane::Spare => return engine_rank(ranks, ranks?.last, &CallHistory::default()),
+        RunKind::Primary => call_priority(customer(&routing, driver.customer.as_ref()), route),
+        RunKind::Speculative => return engine_rank(ranks, ranks?.last, &CallHistory::default()),
     };
     let limit_ms = if route.give_up_ms > 0 { route.give_up_ms } else { route.due_ms };
     let history = CallHistory {
-        made: ledger.share_made(index),
+        made: ledger.generated_fraction(index),
         was_preempted: ledger.was_preempted(index),
         waited: Duration::from_millis(node.store.clock_ms().saturating_sub(driver.accepted_ms)),
         allowed: (limit_ms > 0).then(|| Duration::from_millis(limit_ms)),
--- a/crates/trestlerackd/src/main.rs
+++ b/crates/trestlerackd/src/main.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use trestlerack::Name;
 use trestlerack::process::{DaemonSettings, EntrySettings, parse_entry_settings, parse_settings};
-use trestlerack::schema::DocumentFault;
+use trestlerack::schema::DocumentError;
 
 const HELP: &str = "\
 trestlerackd - a node of the trestlerack rollout service
@@ -120,7 +120,7 @@
     parse_entry_settings(file, &text).map_err(settings_error)
 }
 
-fn settings_error(faults: Vec<DocumentFault>) -> anyhow::Error {
+fn settings_error(faults: Vec<DocumentError>) -> anyhow::Error {
     let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
     anyhow::anyhow!("the settings are wrong\n{}", lines.join("\n"))
 }
--- a/crates/trestlerackd/src/process/member_loop.rs
+++ b/crates/trestlerackd/src/process/member_loop.rs
@@ -89,13 +89,13 @@
     let timeout = Duration::from_millis(node.settings.heartbeat_ms) * PROBE_TIMEOUT_PARTS;
     let heartbeat = node.membership.lock().unwrap().heartbeat();
     let generation = node.config.current().generation;
-    let backends = node.desks.take_news();
-    let strikes = content_gate::probe_strikes(&node);
-    let build = |id| LinkFrame::Probe { id, heartbeat, generation, backends, strikes };
+    let drain_updates = node.desks.take_news();
+    let crash_reports = content_gate::probe_strikes(&node);
+    let build = |id| LinkFrame::Probe { id, heartbeat, generation, drain_updates, crash_reports };
     match links::request(&node, &peer, build, timeout).await {
-        Ok(LinkFrame::ProbeAnswer { heartbeat, generation, backends, strikes, .. }) => {
-            content_gate::hear_strikes(&node, &strikes);
-            hear(&node, heartbeat, generation, backends);
+        Ok(LinkFrame::ProbeAnswer { heartbeat, generation, drain_updates, crash_reports, .. }) => {
+            content_gate::hear_strikes(&node, &crash_reports);
+            hear(&node, heartbeat, generation, drain_updates);
         }
         Ok(_) | Err(_) => tell(&node, MembershipEvent::Unanswered(peer.name)),
     }
@@ -120,11 +120,11 @@
     node: &Arc<Node>,
     heartbeat: Heartbeat,
     generation: u64,
-    backends: Vec<trestlerack::connection::BackendNews>,
+    drain_updates: Vec<trestlerack::connection::DrainUpdate>,
 ) {
     let sender = heartbeat.sender.peer.clone();
     tell(node, MembershipEvent::Received(heartbeat));
-    for news in backends {
+    for news in drain_updates {
         node.desks.hear_news(node.now(), news);
     }
     let action = node.config.handle(FollowEvent::Heard { generation });
--- a/crates/trestlerackd/src/process/rollout_loop.rs
+++ b/crates/trestlerackd/src/process/rollout_loop.rs
@@ -13,7 +13,7 @@
 use trestlerack::interfaces::{CommitOutcome, StoreError, TableRow, TableTransaction};
 use trestlerack::process::{LeaseKeeper, LeaseRow, LeaseSettings, LeaseStep};
 use trestlerack::version::{BackendKind, Configuration, EngineOrder, WeightTarget, WeightVersion};
-use trestlerack::{Name, PlaceSet};
+use trestlerack::{AllowedZones, Name};
 
 /// Leases kept by this node, by model.
 #[derive(Default)]
@@ -70,7 +70,7 @@
         if candidate.name == *node.name() {
             node.leases.nudge();
         } else {
-            let frame = LinkFrame::ModelNudge { model: model.clone() };
+            let frame = LinkFrame::WeightsPublished { model: model.clone() };
             links::post(node, &candidate.name, frame).await;
         }
     }
@@ -167,7 +167,7 @@
     let serving_percent = serving_percent(config, model);
     let quiet_over = ordering.is_some();
     let target = WeightTarget { model: model.clone(), version, fence, serving_percent, quiet_over };
-    let places = PlaceSet::new(config.serving(BackendKind::Engine, model).map(|backend| backend.zone.clone()));
+    let places = AllowedZones::new(config.serving(BackendKind::Engine, model).map(|backend| backend.zone.clone()));
     let owners = node.owners.read().unwrap().owners(model, &places);
     let nodes: BTreeSet<Name> = owners.into_iter().map(|owner| owner.node).collect();
     for owner in nodes {
@@ -234,7 +234,7 @@
 async fn send_order(node: Arc<Node>, order: EngineOrder, address: Name) {
     let answer = node.engines.order(&address, &order).await;
     let orders = match answer {
-        Ok(status) if status.held_version == Some(order.version) => {
+        Ok(status) if status.loaded_version == Some(order.version) => {
             logs::write(event::WEIGHTS_HELD, &[("engine", &order.engine), ("version", &order.version)]);
             node.desks.hear_status(node.now(), &order.engine, &status)
         }
--- a/crates/trestlerackd/src/process/step_loop.rs
+++ b/crates/trestlerackd/src/process/step_loop.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::sync::Notify;
-use trestlerack::connection::{GroupWanted, LinkFrame};
+use trestlerack::connection::{GroupRequest, LinkFrame};
 use trestlerack::process::{ManifestCache, StepLook, StepRow, StepSubmission, group_key};
 use trestlerack::version::Campaign;
 use trestlerack::{Name, Timestamp, event};
@@ -43,7 +43,7 @@
     if owner.name == *node.name() {
         node.steps.nudge();
     } else {
-        let frame = LinkFrame::CampaignNudge { campaign: campaign.name.clone() };
+        let frame = LinkFrame::CheckCampaign { campaign: campaign.name.clone() };
         links::post(node, &owner.name, frame).await;
     }
 }
@@ -145,7 +145,7 @@
         if !should_ask(node, &group_key(&campaign.name, step.step, &spec.group), &owner) {
             continue;
         }
-        let wanted = GroupWanted {
+        let wanted = GroupRequest {
             campaign: campaign.name.clone(),
             step: step.step,
             consume_version: step.consume_version,
@@ -155,7 +155,7 @@
         if owner == *node.name() {
             group_runner::begin(node, wanted);
         } else {
-            links::post(node, &owner, LinkFrame::GroupWanted(wanted)).await;
+            links::post(node, &owner, LinkFrame::GroupRequest(wanted)).await;
         }
     }
 }
--- a/crates/trestlerackd/src/process/wanted.rs
+++ b/crates/trestlerackd/src/process/wanted.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashSet;
 use std::sync::Mutex;
-use trestlerack::connection::GroupWanted;
+use trestlerack::connection::GroupRequest;
 use trestlerack::process::group_key;
 
 /// Keys of the groups in progress on this node.
@@ -13,7 +13,7 @@
 
 impl WantedGroups {
     /// Begins a group, or returns `None` if it is in progress.
-    pub fn begin(&self, wanted: &GroupWanted) -> Option<String> {
+    pub fn begin(&self, wanted: &GroupRequest) -> Option<String> {
         let key = group_key(&wanted.campaign, wanted.step, &wanted.spec.group);
         let fresh = self.in_progress.lock().unwrap().insert(key.clone());
         fresh.then_some(key)
--- a/crates/trestlerackd/src/request/call_driver.rs
+++ b/crates/trestlerackd/src/request/call_driver.rs
@@ -56,7 +56,7 @@
     node.budget.lock().unwrap().earn(&spec.account, &spec.model);
     let (mut attempts, started) = (0, node.now());
     // A hedge is late already, and an application's call is refused rather than held back.
-    let waits_for_room = policy.patient && spec.priority < HEDGE_PRIORITY;
+    let waits_for_room = policy.waits_for_engine && spec.priority < HEDGE_PRIORITY;
     let mut avoid = sink.avoided();
     loop {
         attempts += 1;
@@ -68,7 +68,7 @@
         // A node that joins or leaves moves engines to other owners; for a moment an owner is asked
         // for an engine that it no longer has, or does not have yet.
         let is_moving = failure.reason == Reason::NoBackend && node.now().since(started) < OWNERSHIP_SETTLE;
-        let policy = ResumePolicy { patient: policy.patient || elsewhere || is_moving, ..policy };
+        let policy = ResumePolicy { waits_for_engine: policy.waits_for_engine || elsewhere || is_moving, ..policy };
         match decide_resume(&failure, policy, node.now(), deadline, in_budget) {
             ResumeDecision::Resume => {
                 logs::write(event::CALL_BROKEN, &[("account", &spec.account), ("cause", &failure)]);
@@ -121,7 +121,7 @@
         match call.next().await {
             CallEvent::Started { engine, zone, owner, .. } => sink.started(engine, zone, owner),
             CallEvent::Chunk(chunk) => sink.chunk(chunk).await?,
-            CallEvent::Ended(CallOutcome::Whole) => return Ok(()),
+            CallEvent::Ended(CallOutcome::Complete) => return Ok(()),
             CallEvent::Ended(CallOutcome::Failed(failure)) => return Err(failure),
         }
     }
--- a/crates/trestlerackd/src/request/call_router.rs
+++ b/crates/trestlerackd/src/request/call_router.rs
@@ -17,9 +17,9 @@
 use trestlerack::connection::{CallEvent, CallOutcome, CallSpec, TokenChunk};
 use trestlerack::interfaces::ChunkSink;
 use trestlerack::process::PeerInfo;
-use trestlerack::request::{EngineChooser, EngineView, QueuedCall};
+use trestlerack::request::{EngineCandidate, EngineChooser, QueuedCall};
 use trestlerack::verdict::Reason;
-use trestlerack::{Failure, Name, PlaceSet, Timestamp, Verdict};
+use trestlerack::{AllowedZones, Failure, Name, Timestamp, Verdict};
 
 /// Wait named when no owner has an engine in an allowed place.
 const NO_OWNER_RETRY: Duration = Duration::from_millis(500);
@@ -107,20 +107,20 @@
 
 /// Returns whether some owner of a model's engines is believed to have a slot to spare, so that a
 /// hedge takes nothing away from a first attempt.
-pub fn has_spare(node: &Node, model: &Name, places: &PlaceSet) -> bool {
+pub fn has_spare(node: &Node, model: &Name, places: &AllowedZones) -> bool {
     let owners = node.owners.read().unwrap().owners(model, places);
     owners.iter().any(|owner| node.loads.belief(node.now(), model, &owner.node).0 < owner.slots)
 }
 
 /// Returns the owner that a call's prefix and the owners' load point to, without those to `avoid`.
 pub fn choose_owner(node: &Node, spec: &CallSpec, avoid: &[Name]) -> Result<OwnerChoice, Failure> {
-    let mut owners = node.owners.read().unwrap().owners(&spec.model, &spec.places);
+    let mut owners = node.owners.read().unwrap().owners(&spec.model, &spec.allowed_zones);
     owners.retain(|owner| !avoid.contains(&owner.node));
     let beliefs: Vec<_> = owners.iter().map(|owner| node.loads.belief(node.now(), &spec.model, &owner.node)).collect();
-    let views: Vec<EngineView<'_>> = owners
+    let views: Vec<EngineCandidate<'_>> = owners
         .iter()
         .zip(&beliefs)
-        .map(|(owner, (calls, millis_per_token))| EngineView {
+        .map(|(owner, (calls, millis_per_token))| EngineCandidate {
             name: &owner.node,
             in_flight: *calls,
             slots: owner.slots,
@@ -204,7 +204,7 @@
     }
     let is_good = !matches!(&answer, Err(failure) if failure.reason == Reason::BackendFailed);
     node.desks.ended(node.now(), &spec.model, id, is_good, tokens);
-    let outcome = answer.map_or_else(CallOutcome::Failed, |()| CallOutcome::Whole);
+    let outcome = answer.map_or_else(CallOutcome::Failed, |()| CallOutcome::Complete);
     end(&sender, outcome).await;
 }
 
@@ -218,9 +218,9 @@
     let left = deadline.since(node.now());
     let call = node.engines.complete(&grant.address, spec, relay);
     let call = async {
-        match spec.content {
-            Some(content) => {
-                let send = GuardedSend { backend: &grant.engine, address: &grant.address, content };
+        match spec.fingerprint {
+            Some(fingerprint) => {
+                let send = GuardedSend { backend: &grant.engine, address: &grant.address, content: fingerprint };
                 content_gate::guarded(node, send, call).await
             }
             None => call.await,
@@ -235,7 +235,7 @@
         id,
         account: spec.account.clone(),
         weight: spec.weight,
-        places: spec.places.clone(),
+        allowed_zones: spec.allowed_zones.clone(),
         priority: spec.priority,
         prefix: spec.prefix,
         min_version: spec.min_version,
--- a/crates/trestlerackd/src/request/completions.rs
+++ b/crates/trestlerackd/src/request/completions.rs
@@ -68,13 +68,13 @@
     let request: CompletionRequest = call.json()?;
     let allowed = call.time_allowed()?;
     let config = call.node.config.current();
-    let places = config.user(&user).map(|user| user.places.clone()).unwrap_or_default();
+    let allowed_zones = config.user(&user).map(|user| user.places.clone()).unwrap_or_default();
     let prefix: String = request.prompt.chars().take(PREFIX_CHARACTERS).collect();
     let spec = CallSpec {
         account: user,
         weight: 1,
         model: request.model.clone(),
-        places,
+        allowed_zones,
         prefix: hash_parts(&[&prefix]),
         prompt: request.prompt,
         offset: 0,
@@ -85,14 +85,14 @@
         needs_version: false,
         deadline_ms: trestlerack::time::millis(allowed),
         traceparent: call.span.traceparent.clone(),
-        content: None,
+        fingerprint: None,
     };
-    let spec = spec.with_content();
+    let spec = spec.with_fingerprint();
     let deadline = call.node.now() + allowed;
     if request.stream { stream(call, spec, deadline).await } else { collect(call, spec, deadline).await }
 }
 
-const POLICY: ResumePolicy = ResumePolicy { repeatable: true, patient: false };
+const POLICY: ResumePolicy = ResumePolicy { repeatable: true, waits_for_engine: false };
 
 async fn collect(call: ApiCall, spec: CallSpec, deadline: Timestamp) -> Result<Response<Body>, Failure> {
     let mut sink = CollectSink::default();
--- a/crates/trestlerackd/src/request/desks.rs
+++ b/crates/trestlerackd/src/request/desks.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex, RwLock};
 use std::time::Duration;
 use tokio::sync::oneshot;
-use trestlerack::connection::{BackendNews, NewsSource, NodeLoad};
+use trestlerack::connection::{DrainSource, DrainUpdate, NodeLoad};
 use trestlerack::hash::hash_parts;
 use trestlerack::interfaces::EngineStatus;
 use trestlerack::process::{DaemonSettings, LeavingBoard};
@@ -125,7 +125,7 @@
 
     /// Records that a started call ended.
     pub fn ended(&self, now: Timestamp, model: &Name, id: u64, good: bool, tokens: u32) {
-        self.tell(now, model, DispatchEvent::Ended { id, good, tokens });
+        self.tell(now, model, DispatchEvent::Ended { id, succeeded: good, tokens });
     }
 
     /// Records that a call is no longer wanted.
@@ -170,7 +170,7 @@
     pub fn hear_status(&self, now: Timestamp, engine: &Name, status: &EngineStatus) -> Vec<EngineOrder> {
         self.set_reachable(now, engine, true);
         self.engine_answered(now, engine, status.leaving);
-        status.held_version.map_or_else(Vec::new, |version| self.hear_version(now, engine, version))
+        status.loaded_version.map_or_else(Vec::new, |version| self.hear_version(now, engine, version))
     }
 
     /// Takes in a version that an engine named; returns the orders to send.
@@ -178,7 +178,7 @@
         let Some(model) = self.model_of(engine) else { return Vec::new() };
         let mut shard = self.desks.lock(&model);
         let desk = self.desk(&mut shard, &model);
-        self.dispatch(now, desk, DispatchEvent::Held { engine: engine.clone(), version });
+        self.dispatch(now, desk, DispatchEvent::VersionReported { engine: engine.clone(), version });
         desk.rollout.handle(now, RolloutEvent::Held { engine: engine.clone(), version })
     }
 
@@ -257,9 +257,9 @@
 
     /// Takes in an operator's order to leave a backend server alone, or to use it again.
     pub fn ordered_leaving(&self, now: Timestamp, backend: &Name, leaving: bool) {
-        let news = BackendNews {
+        let news = DrainUpdate {
             backend: backend.clone(),
-            source: NewsSource::Order,
+            source: DrainSource::Operator,
             leaving,
             stamp: SystemClock::unix_millis(),
         };
@@ -267,7 +267,7 @@
     }
 
     /// Takes in news from a peer.
-    pub fn hear_news(&self, now: Timestamp, news: BackendNews) {
+    pub fn hear_news(&self, now: Timestamp, news: DrainUpdate) {
         let backend = news.backend.clone();
         if self.leaving.lock().unwrap().hear(news, PEERS_ESTIMATE) {
             self.refresh_open(now, &backend);
@@ -280,7 +280,7 @@
     }
 
     /// Takes the news to put on the next heartbeat.
-    pub fn take_news(&self) -> Vec<BackendNews> {
+    pub fn take_news(&self) -> Vec<DrainUpdate> {
         self.leaving.lock().unwrap().take_news()
     }
 
@@ -302,7 +302,7 @@
     fn refresh_open(&self, now: Timestamp, engine: &Name) {
         let Some(model) = self.model_of(engine) else { return };
         let open = self.is_open(engine);
-        self.tell(now, &model, DispatchEvent::Open { engine: engine.clone(), open });
+        self.tell(now, &model, DispatchEvent::Availability { engine: engine.clone(), accepts_work: open });
     }
 
     fn model_of(&self, engine: &str) -> Option<Name> {
@@ -339,7 +339,7 @@
         let _ = desk.rollout.handle(now, RolloutEvent::Engines(engines.collect()));
         for backend in backends {
             let open = self.is_open(&backend.name);
-            self.dispatch(now, desk, DispatchEvent::Open { engine: backend.name.clone(), open });
+            self.dispatch(now, desk, DispatchEvent::Availability { engine: backend.name.clone(), accepts_work: open });
         }
     }
 
--- a/crates/trestlerackd/src/request/group_runner.rs
+++ b/crates/trestlerackd/src/request/group_runner.rs
@@ -13,7 +13,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::sync::mpsc;
-use trestlerack::connection::{CallSpec, GroupWanted, TokenChunk};
+use trestlerack::connection::{CallSpec, GroupRequest, TokenChunk};
 use trestlerack::hash::hash_parts;
 use trestlerack::process::MadeGroup;
 use trestlerack::request::{
@@ -41,7 +41,7 @@
 type AttemptEnd = (usize, u32, Result<Sample, Failure>);
 
 /// Begins a group, unless it is in progress here or this node can take on nothing new.
-pub fn begin(node: &Arc<Node>, wanted: GroupWanted) {
+pub fn begin(node: &Arc<Node>, wanted: GroupRequest) {
     if node.stop.is_stopping() || !node.spool.has_room() {
         return;
     }
@@ -54,7 +54,7 @@
     });
 }
 
-async fn run_group(node: &Arc<Node>, wanted: &GroupWanted) {
+async fn run_group(node: &Arc<Node>, wanted: &GroupRequest) {
     let Some((campaign, samples)) = make_group(node, wanted).await else {
         let key = &wanted.spec.group;
         logs::write(event::GROUP_FAILED, &[("campaign", &wanted.campaign), ("step", &wanted.step), ("group", key)]);
@@ -68,7 +68,7 @@
 }
 
 /// Makes a group under the campaign as it stands, and anew when its places change on the way.
-async fn make_group(node: &Arc<Node>, wanted: &GroupWanted) -> Option<(Campaign, Vec<Sample>)> {
+async fn make_group(node: &Arc<Node>, wanted: &GroupRequest) -> Option<(Campaign, Vec<Sample>)> {
     loop {
         let campaign = node.config.current().campaign(&wanted.campaign).cloned()?;
         if !campaign.places.allows(&node.settings.zone) {
@@ -98,7 +98,7 @@
     config.campaign(&campaign.name).is_some_and(|current| current.places == campaign.places)
 }
 
-fn made_group(node: &Node, wanted: &GroupWanted, samples: &[Sample]) -> MadeGroup {
+fn made_group(node: &Node, wanted: &GroupRequest, samples: &[Sample]) -> MadeGroup {
     let mut lines = String::new();
     for sample in samples {
         lines.push_str(&serde_json::to_string(sample).expect("a sample always encodes"));
@@ -116,7 +116,7 @@
 }
 
 /// Runs the group's driver to its end.
-async fn make_samples(node: &Arc<Node>, campaign: &Campaign, wanted: &GroupWanted) -> GroupOutcome {
+async fn make_samples(node: &Arc<Node>, campaign: &Campaign, wanted: &GroupRequest) -> GroupOutcome {
     let size = wanted.spec.size;
     let mut driver = GroupDriver::new(group_settings(node), size);
     let (sender, mut ends) = mpsc::channel::<AttemptEnd>(size.max(1));
@@ -225,7 +225,7 @@
 async fn run_attempt(
     node: Arc<Node>,
     campaign: Campaign,
-    wanted: GroupWanted,
+    wanted: GroupRequest,
     attempt: SampleAttempt,
     sender: mpsc::Sender<AttemptEnd>,
 ) {
@@ -239,7 +239,7 @@
 async fn make_sample(
     node: &Arc<Node>,
     campaign: &Campaign,
-    wanted: &GroupWanted,
+    wanted: &GroupRequest,
     attempt: &SampleAttempt,
 ) -> Result<Sample, Failure> {
     let span = node.telemetry.hop("sample", SpanKind::Internal, None);
@@ -250,7 +250,7 @@
     let spec = call_spec(node, campaign, wanted, attempt, span.traceparent.clone());
     let mut sink = SampleSink::new(min_version, attempt);
     let deadline = node.now() + SAMPLE_DEADLINE;
-    let policy = ResumePolicy { repeatable: true, patient: true };
+    let policy = ResumePolicy { repeatable: true, waits_for_engine: true };
     let attempts = drive(node, &spec, deadline, policy, &mut sink).await?;
     let (text, tokens, versions) = sink.assembler.finish();
     let score = score(node, campaign, &wanted.spec.prompt, &text).await?;
@@ -267,14 +267,14 @@
     })
 }
 
-fn sample_id(wanted: &GroupWanted, index: usize) -> Name {
+fn sample_id(wanted: &GroupRequest, index: usize) -> Name {
     format!("{}/{}/{}/{index}", wanted.campaign, wanted.step, wanted.spec.group).into()
 }
 
 fn call_spec(
     node: &Node,
     campaign: &Campaign,
-    wanted: &GroupWanted,
+    wanted: &GroupRequest,
     attempt: &SampleAttempt,
     traceparent: Option<Name>,
 ) -> CallSpec {
@@ -284,7 +284,7 @@
         account: campaign.name.clone(),
         weight: campaign.weight,
         model: campaign.model.clone(),
-        places: campaign.places.clone(),
+        allowed_zones: campaign.places.clone(),
         prompt: wanted.spec.prompt.clone(),
         offset: 0,
         max_tokens: campaign.max_tokens,
@@ -299,9 +299,9 @@
         needs_version: true,
         deadline_ms: node.left_ms(node.now() + SAMPLE_DEADLINE),
         traceparent,
-        content: None,
+        fingerprint: None,
     };
-    spec.with_content()
+    spec.with_fingerprint()
 }
 
 /// Scores a sample on a scoring service in the campaign's places.
--- a/crates/trestlerackd/src/request/plain.rs
+++ b/crates/trestlerackd/src/request/plain.rs
@@ -17,8 +17,8 @@
 use std::time::Duration;
 use trestlerack::hash::digest_hex;
 use trestlerack::request::{
-    ClaimDecision, ClaimState, ClaimStore, RequestContent, RequestFingerprint, ResumeDecision, ResumePolicy, claim_key,
-    decide_resume,
+    IdempotencyDecision, IdempotencyState, IdempotencyStore, RequestContent, RequestFingerprint, ResumeDecision,
+    ResumePolicy, decide_resume, idempotency_row_key,
 };
 use trestlerack::verdict::Reason;
 use trestlerack::version::{Backend, BackendKind};
@@ -125,7 +125,7 @@
 /// itself honours.
 async fn send(node: &Arc<Node>, call: &PlainCall, backends: &[Backend]) -> Result<HttpAnswer, Failure> {
     node.budget.lock().unwrap().earn(&call.user, &call.service);
-    let policy = ResumePolicy { repeatable: call.repeatable, patient: false };
+    let policy = ResumePolicy { repeatable: call.repeatable, waits_for_engine: false };
     let mut tried = Vec::new();
     loop {
         let chosen = node.plain.choose(node.now(), backends, &tried, |name| node.desks.is_leaving(name));
@@ -194,13 +194,13 @@
 /// Claims a keyed call in the table before it is sent, so that a retry through another node meets
 /// the claim.
 async fn send_claimed(node: &Arc<Node>, call: &PlainCall, backends: &[Backend]) -> Result<HttpAnswer, Failure> {
-    let key = claim_key(&call.user, &call.service, call.key.as_deref().unwrap_or(""));
+    let key = idempotency_row_key(&call.user, &call.service, call.key.as_deref().unwrap_or(""));
     let digest: Name =
         digest_hex(&[call.method.as_str().as_bytes(), b" ", call.target.as_bytes(), b"\n", &call.body].concat()).into();
     let attempt = node.operation_id();
-    let claims = ClaimStore::new(node.table.as_ref());
+    let claims = IdempotencyStore::new(node.table.as_ref());
     match claims.begin(&key, &digest, &attempt).await {
-        ClaimDecision::Send => {}
+        IdempotencyDecision::Send => {}
         other => return answer_without_sending(other),
     }
     let result = send(node, call, backends).await;
@@ -208,30 +208,30 @@
     result
 }
 
-fn answer_without_sending(decision: ClaimDecision) -> Result<HttpAnswer, Failure> {
+fn answer_without_sending(decision: IdempotencyDecision) -> Result<HttpAnswer, Failure> {
     match decision {
-        ClaimDecision::Replay { status, content_type, body } => Ok(HttpAnswer {
+        IdempotencyDecision::Replay { status, content_type, body } => Ok(HttpAnswer {
             status: StatusCode::from_u16(status).unwrap_or(StatusCode::OK),
             content_type,
             body: Bytes::from(body),
         }),
-        ClaimDecision::Refuse(failure) => Err(failure),
+        IdempotencyDecision::Refuse(failure) => Err(failure),
         // The claim store turns these into the others before it answers.
-        ClaimDecision::Claim | ClaimDecision::Send => {
+        IdempotencyDecision::Claim | IdempotencyDecision::Send => {
             Err(Failure::not_run(Reason::StoreUnavailable, "the call could not be claimed"))
         }
     }
 }
 
-fn end_of_claim(result: &Result<HttpAnswer, Failure>) -> ClaimState {
+fn end_of_claim(result: &Result<HttpAnswer, Failure>) -> IdempotencyState {
     match result {
-        Ok(answer) if answer.body.len() <= MAX_RECORDED => ClaimState::Answered {
+        Ok(answer) if answer.body.len() <= MAX_RECORDED => IdempotencyState::Answered {
             status: answer.status.as_u16(),
             content_type: answer.content_type.clone(),
             body: String::from_utf8_lossy(&answer.body).into_owned(),
         },
-        Ok(_) => ClaimState::Uncertain,
-        Err(failure) => ClaimState::after_failure(failure.verdict),
+        Ok(_) => IdempotencyState::Uncertain,
+        Err(failure) => IdempotencyState::after_failure(failure.verdict),
     }
 }
 
--- a/crates/trestlerackd/src/request/plain_pool.rs
+++ b/crates/trestlerackd/src/request/plain_pool.rs
@@ -6,9 +6,9 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, RwLock};
 use trestlerack::process::{OutlierDetector, OutlierSettings};
-use trestlerack::request::{ChoicePolicy, EngineChooser, EngineView};
+use trestlerack::request::{ChoicePolicy, EngineCandidate, EngineChooser};
 use trestlerack::version::{Backend, BackendKind, Configuration};
-use trestlerack::{Name, PlaceSet, Timestamp};
+use trestlerack::{AllowedZones, Name, Timestamp};
 
 /// Requests that a backend server of a service counts as able to hold for balancing.
 const BALANCE_SLOTS: u32 = 64;
@@ -48,7 +48,7 @@
     }
 
     /// Returns the backend servers of a service in the allowed zones.
-    pub fn backends(&self, kind: BackendKind, service: &str, places: &PlaceSet) -> Vec<Backend> {
+    pub fn backends(&self, kind: BackendKind, service: &str, places: &AllowedZones) -> Vec<Backend> {
         let services = self.backends.read().unwrap().clone();
         let Some(backends) = services.get(service) else { return Vec::new() };
         let allowed = |backend: &&Backend| backend.kind == kind && places.allows(&backend.zone);
@@ -74,7 +74,12 @@
             let limit = state.outliers.limit(now, &backend.name, BALANCE_SLOTS);
             let in_flight = state.in_flight.get(&backend.name).copied().unwrap_or(0);
             if !left && limit > 0 && !tried.contains(&backend.name) {
-                candidates.push(EngineView { name: &backend.name, in_flight, slots: limit, millis_per_token: None });
+                candidates.push(EngineCandidate {
+                    name: &backend.name,
+                    in_flight,
+                    slots: limit,
+                    millis_per_token: None,
+                });
             }
         }
         let index = state.chooser.choose(0, &candidates)?;
