--- a/crates/trestlerack/src/event.rs
+++ b/crates/trestlerack/src/event.rs
@@ -79,7 +79,7 @@
     WEIGHTS_HELD = (1404, "weights-held", Info);
     /// An order to an engine failed and will be retried.
     ORDER_FAILED = (1405, "order-failed", Warn);
-    /// An engine failed too many orders and receives no more.
+    /// An engine failed too many orders in a row and receives none for a while.
     ENGINE_SET_ASIDE = (1406, "engine-set-aside", Error);
     /// Outlier ejection took an engine out of service after bad answers.
     ENGINE_EJECTED = (1501, "engine-ejected", Warn);
@@ -229,7 +229,7 @@
     SPARES_YIELDED = (2309, "spares-yielded", Info);
     /// The score call of an item ended; the line lists the servers that it was sent to.
     SCORE_ENDED = (2308, "score-ended", Info);
-    /// An engine was not chosen for a run, because the runs on it are expected to use its memory.
+    /// An engine was not chosen for a run, because this node's runs are expected to use its memory.
     ENGINE_FULL = (2311, "engine-full", Info);
     /// An item is expected to exceed the memory of every engine.
     ITEM_OVERSIZE = (2312, "item-oversize", Warn);
--- a/crates/trestlerack/src/interfaces.rs
+++ b/crates/trestlerack/src/interfaces.rs
@@ -164,7 +164,7 @@
     async fn accept(&mut self, chunk: TokenChunk) -> bool;
 }
 
-/// Client of model engines.
+/// Client of model engines, over the completions protocol.
 #[async_trait]
 pub trait EngineClient: Send + Sync {
     /// Runs a completion on the engine at `address` and returns when the engine reports that the answer
--- a/crates/trestlerack/src/request/fingerprint.rs
+++ b/crates/trestlerack/src/request/fingerprint.rs
@@ -29,8 +29,8 @@
     /// Returns the fingerprint. It is the same on every node and for every attempt.
     pub fn fingerprint(&self) -> RequestFingerprint {
         let mut hasher = Sha256::new();
-        let head = [self.customer.unwrap_or(""), self.host, self.path];
-        for part in head.map(str::as_bytes).into_iter().chain([self.body.as_ref()]) {
+        let text_parts = [self.customer.unwrap_or(""), self.host, self.path];
+        for part in text_parts.map(str::as_bytes).into_iter().chain([self.body.as_ref()]) {
             // The length prefix makes the encoding unambiguous: bytes cannot move between parts.
             hasher.update((part.len() as u64).to_be_bytes());
             hasher.update(part);
--- a/crates/trestlerack/src/request/job_tracker/mod.rs
+++ b/crates/trestlerack/src/request/job_tracker/mod.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
     /// The stream ended normally, so the text is complete.
-    Whole,
+    Complete,
     /// The engine or the connection failed, or the run was moved; the text so far is retained.
     Broken,
     /// The engine did not run the request.
@@ -37,7 +37,20 @@
     /// The engine answered that the run failed, which counts against the item's attempts.
     Failed,
     /// The engine answered that it can never run the item.
-    Impossible,
+    Rejected,
+}
+
+impl RunEnd {
+    /// Returns the name used in logs and metrics.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::Complete => "whole",
+            Self::Broken => "broken",
+            Self::NotRun => "notrun",
+            Self::Failed => "failed",
+            Self::Rejected => "impossible",
+        }
+    }
 }
 
 /// Settings of a [`JobTracker`].
@@ -370,7 +383,7 @@
         }
         state.phase = ItemPhase::Waiting;
         match end {
-            RunEnd::Whole if state.transcript.last_event.is_some() => {
+            RunEnd::Complete if state.transcript.last_event.is_some() => {
                 state.phase = ItemPhase::Scoring;
                 state.is_text_complete = true;
                 if let Some(hint) = self.spec.items[index].length_hint {
@@ -378,7 +391,7 @@
                 }
                 return true;
             }
-            RunEnd::Whole | RunEnd::Broken => {
+            RunEnd::Complete | RunEnd::Broken => {
                 state.retry_at = now + self.settings.retry_delay;
             }
             RunEnd::NotRun => {}
@@ -389,7 +402,7 @@
                     self.give_up(index);
                 }
             }
-            RunEnd::Impossible => self.give_up(index),
+            RunEnd::Rejected => self.give_up(index),
         }
         false
     }
--- a/crates/trestlerack/src/request/job_tracker/speculative.rs
+++ b/crates/trestlerack/src/request/job_tracker/speculative.rs
@@ -31,7 +31,7 @@
         let Some(speculative) = &mut state.speculative else { return false };
         speculative.has_ended = true;
         let is_undecided = matches!(state.phase, ItemPhase::Running(_) | ItemPhase::Waiting);
-        if end != RunEnd::Whole || !is_undecided || speculative.transcript.last_event.is_none() {
+        if end != RunEnd::Complete || !is_undecided || speculative.transcript.last_event.is_none() {
             return false;
         }
         state.transcript = std::mem::take(&mut speculative.transcript);
--- a/crates/trestlerack/tests/idempotency.rs
+++ b/crates/trestlerack/tests/idempotency.rs
@@ -20,10 +20,10 @@
 
 /// One attempt of a caller through some node: claim the key, send the call, record the outcome.
 async fn call(store: &FakeStore, observations: &Mutex<Observations>, number: usize) {
-    let claims = IdempotencyStore::new(store);
+    let idempotency_store = IdempotencyStore::new(store);
     let (key, digest): (String, Name) = (idempotency_row_key("kitamura", "records", "wash-1"), "digest".into());
     let attempt: Name = format!("attempt-{number}").into();
-    match claims.begin(&key, &digest, &attempt).await {
+    match idempotency_store.begin(&key, &digest, &attempt).await {
         IdempotencyDecision::Send => {}
         IdempotencyDecision::Replay { body, .. } => return observations.lock().unwrap().answers.push(body),
         IdempotencyDecision::Refuse(failure) => return observations.lock().unwrap().verdicts.push(failure.verdict),
@@ -32,14 +32,14 @@
     pause().await;
     // One in four calls cannot connect to the service, so nothing is sent.
     if number.is_multiple_of(4) {
-        claims.finish(&key, &attempt, IdempotencyState::after_failure(Verdict::NotRun)).await;
+        idempotency_store.finish(&key, &attempt, IdempotencyState::after_failure(Verdict::NotRun)).await;
         return observations.lock().unwrap().verdicts.push(Verdict::NotRun);
     }
     observations.lock().unwrap().runs += 1;
     pause().await;
     let body = format!("run by {number}");
     let state = IdempotencyState::Answered { status: 200, content_type: "text/plain".into(), body: body.clone() };
-    claims.finish(&key, &attempt, state).await;
+    idempotency_store.finish(&key, &attempt, state).await;
     observations.lock().unwrap().answers.push(body);
 }
 
@@ -77,20 +77,20 @@
 #[test]
 fn a_key_reused_for_another_request_is_refused_as_not_run() {
     let store = FakeStore::new(1, FaultPlan { percent: 0, ignores_preconditions: false });
-    let claims = IdempotencyStore::new(&store);
+    let idempotency_store = IdempotencyStore::new(&store);
     let key = idempotency_row_key("kitamura", "records", "wash-1");
-    let first = support::block_on(claims.begin(&key, &"one".into(), &"a".into()));
+    let first = support::block_on(idempotency_store.begin(&key, &"one".into(), &"a".into()));
     assert_eq!(first, IdempotencyDecision::Send);
-    let second = support::block_on(claims.begin(&key, &"two".into(), &"b".into()));
+    let second = support::block_on(idempotency_store.begin(&key, &"two".into(), &"b".into()));
     assert!(matches!(second, IdempotencyDecision::Refuse(failure) if failure.verdict == Verdict::NotRun));
 }
 
 #[test]
 fn a_call_claimed_by_a_dead_node_is_never_sent_again() {
     let store = FakeStore::new(1, FaultPlan { percent: 0, ignores_preconditions: false });
-    let claims = IdempotencyStore::new(&store);
+    let idempotency_store = IdempotencyStore::new(&store);
     let key = idempotency_row_key("kitamura", "records", "wash-1");
-    assert_eq!(support::block_on(claims.begin(&key, &"one".into(), &"a".into())), IdempotencyDecision::Send);
-    let again = support::block_on(claims.begin(&key, &"one".into(), &"b".into()));
+    assert_eq!(support::block_on(idempotency_store.begin(&key, &"one".into(), &"a".into())), IdempotencyDecision::Send);
+    let again = support::block_on(idempotency_store.begin(&key, &"one".into(), &"b".into()));
     assert!(matches!(again, IdempotencyDecision::Refuse(failure) if failure.verdict == Verdict::MayHaveRun));
 }
--- a/crates/trestlerack/tests/job_tracker.rs
+++ b/crates/trestlerack/tests/job_tracker.rs
@@ -67,7 +67,7 @@
     let next = tracker.transcript(index).last_event.map_or(1, |last| last + 1);
     (next..next + events)
         .for_each(|number| tracker.append(index, RunKind::Primary, &event(number), Some(MIN_VERSION)).unwrap());
-    assert!(tracker.end_run(Timestamp(0), index, RunEnd::Whole));
+    assert!(tracker.end_run(Timestamp(0), index, RunEnd::Complete));
 }
 
 fn result(id: &str, text: &str) -> JobResult {
@@ -120,7 +120,7 @@
 fn a_stream_without_events_does_not_complete_an_item() {
     let mut tracker = tracker(TrackerSettings::default(), vec![], vec![]);
     tracker.start(0, &"engine".into());
-    assert!(!tracker.end_run(Timestamp(0), 0, RunEnd::Whole));
+    assert!(!tracker.end_run(Timestamp(0), 0, RunEnd::Complete));
     assert_eq!(*tracker.phase(0), ItemPhase::Waiting);
 }
 
@@ -152,7 +152,7 @@
     assert_eq!((tracker.pinned_version(0), tracker.transcript(0).last_event), (Some(MIN_VERSION), Some(1)));
     tracker.start(0, &"engine".into());
     tracker.append(0, RunKind::Primary, &event(2), Some(MIN_VERSION)).unwrap();
-    assert!(tracker.end_run(Timestamp(0), 0, RunEnd::Whole));
+    assert!(tracker.end_run(Timestamp(0), 0, RunEnd::Complete));
     assert_eq!(tracker.transcript(0).versions, [MIN_VERSION]);
 }
 
@@ -271,10 +271,10 @@
         tracker.append(index, RunKind::Speculative, &event(1), Some(newest)).unwrap();
     }
     assert!(tracker.speculation_candidates(newest).is_empty());
-    assert!(tracker.end_speculative(0, RunEnd::Whole));
+    assert!(tracker.end_speculative(0, RunEnd::Complete));
     assert_eq!(tracker.transcript(0).versions, [newest]);
     assert_eq!(*tracker.phase(0), ItemPhase::Scoring);
-    assert!(!tracker.end_run(Timestamp(0), 0, RunEnd::Whole), "the primary run ends too late");
+    assert!(!tracker.end_run(Timestamp(0), 0, RunEnd::Complete), "the primary run ends too late");
     assert!(!tracker.end_speculative(1, RunEnd::Broken));
     let checkpoints = tracker.checkpoints();
     let texts: Vec<&[u64]> =
--- a/crates/trestlerack/tests/uneven_steps.rs
+++ b/crates/trestlerack/tests/uneven_steps.rs
@@ -49,7 +49,7 @@
 
 fn list(ledger: &mut JobTracker, index: usize, events: u64) {
     make_events(ledger, index, events);
-    assert!(ledger.end_run(Timestamp(0), index, RunEnd::Whole));
+    assert!(ledger.end_run(Timestamp(0), index, RunEnd::Complete));
     ledger.record_score(index, None);
     ledger.mark_recorded(&format!("item-{index}"));
 }
--- a/crates/trestlerackd/src/entry/item_run.rs
+++ b/crates/trestlerackd/src/entry/item_run.rs
@@ -55,13 +55,13 @@
     let (end, why) = attempt_run(&node, &driver, &mut trace, ticket).await;
     let item = &driver.spec.items[index];
     let took = node.now().since(started);
-    if end != RunEnd::Whole || took >= LONG_RUN {
+    if end != RunEnd::Complete || took >= LONG_RUN {
         let fields: [(&str, &dyn std::fmt::Display); 9] = [
             ("lane", &lane.as_str()),
             ("item", &item.id),
             ("job", &driver.spec.id),
             ("engine", &engine),
-            ("end", &format!("{end:?}").to_lowercase()),
+            ("end", &end.as_str()),
             ("why", &why),
             ("events", &trace.events),
             ("longest_gap_ms", &trace.longest_gap.as_millis()),
@@ -69,7 +69,7 @@
         ];
         logs::write(event::RUN_ENDED, &fields);
     }
-    if end == RunEnd::Whole {
+    if end == RunEnd::Complete {
         call_use.served();
     }
     node.metrics.run(end);
@@ -121,7 +121,7 @@
     };
     match open.status {
         StatusCode::OK => read_events(node, driver, trace, open, limits).await,
-        StatusCode::UNPROCESSABLE_ENTITY => (RunEnd::Impossible, "the engine says that it can never be done".into()),
+        StatusCode::UNPROCESSABLE_ENTITY => (RunEnd::Rejected, "the engine says that it can never be done".into()),
         StatusCode::INTERNAL_SERVER_ERROR => (RunEnd::Failed, "the engine answered that it failed".into()),
         // Its deadline passed, or something before it failed: no failure of the item.
         status => {
@@ -210,7 +210,7 @@
     if !head.is_closing {
         node.pool.keep(lease, head.idle_limit);
     }
-    (RunEnd::Whole, String::new())
+    (RunEnd::Complete, String::new())
 }
 
 fn note_version(node: &EntryNode, instance: &Name, model: Option<&Name>, version: Option<WeightVersion>) {
--- a/crates/trestlerackd/src/entry/metrics.rs
+++ b/crates/trestlerackd/src/entry/metrics.rs
@@ -71,7 +71,7 @@
 
     /// Counts a run of an item by how it ended.
     pub fn run(&self, end: RunEnd) {
-        self.runs.add(1, &[KeyValue::new("end", format!("{end:?}").to_lowercase())]);
+        self.runs.add(1, &[KeyValue::new("end", end.as_str())]);
     }
 
     /// Counts recorded results.
