--- a/crates/trestlerack/src/request/dispatcher.rs
+++ b/crates/trestlerack/src/request/dispatcher.rs
@@ -43,7 +43,7 @@
 /// A call that waits for an engine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct QueuedCall {
-    /// Id assigned by the user of the dispatcher; unique among the calls in progress.
+    /// Id assigned by the caller of [`EngineDispatcher::handle`]; unique among the calls in progress.
     pub id: u64,
     /// Campaign or user that the call is accounted to.
     pub account: Name,
@@ -120,7 +120,7 @@
     Tick,
 }
 
-/// An action that the user of an [`EngineDispatcher`] must carry out.
+/// An action that the caller of [`EngineDispatcher::handle`] must carry out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum DispatchAction {
     /// Send the call to the engine.
--- a/crates/trestlerack/src/request/group.rs
+++ b/crates/trestlerack/src/request/group.rs
@@ -54,7 +54,7 @@
     Tick,
 }
 
-/// An action that the user of a [`GroupDriver`] must carry out.
+/// An action that the caller of [`GroupDriver::handle`] must carry out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GroupAction {
     /// Start an attempt at a sample.
@@ -85,7 +85,7 @@
     running: BTreeMap<u32, Timestamp>,
     failures: u32,
     retry_at: Option<Timestamp>,
-    done: bool,
+    is_done: bool,
 }
 
 /// Drives one group of samples.
@@ -94,14 +94,14 @@
     settings: GroupSettings,
     samples: Vec<SampleState>,
     run_times: Vec<Duration>,
-    ended: bool,
+    has_ended: bool,
 }
 
 impl GroupDriver {
     /// Builds a driver for `size` samples.
     pub fn new(settings: GroupSettings, size: usize) -> Self {
         let samples = vec![SampleState::default(); size];
-        Self { settings, samples, run_times: Vec::new(), ended: false }
+        Self { settings, samples, run_times: Vec::new(), has_ended: false }
     }
 
     /// Handles one event. `may_hedge` is called once for each hedge, because a call that returns
@@ -112,7 +112,7 @@
         event: &GroupEvent,
         mut may_hedge: impl FnMut() -> bool,
     ) -> Vec<GroupAction> {
-        if self.ended {
+        if self.has_ended {
             return Vec::new();
         }
         match *event {
@@ -134,16 +134,16 @@
     fn finish(&mut self, now: Timestamp, index: usize, attempt: u32) -> Vec<GroupAction> {
         let sample = &mut self.samples[index];
         let Some(started) = sample.running.remove(&attempt) else { return Vec::new() };
-        if sample.done {
+        if sample.is_done {
             return Vec::new();
         }
-        sample.done = true;
+        sample.is_done = true;
         let superseded = std::mem::take(&mut sample.running);
         self.run_times.push(now.since(started));
         let mut actions: Vec<GroupAction> =
             superseded.into_keys().map(|attempt| GroupAction::Cancel { index, attempt }).collect();
-        if self.samples.iter().all(|sample| sample.done) {
-            self.ended = true;
+        if self.samples.iter().all(|sample| sample.is_done) {
+            self.has_ended = true;
             actions.push(GroupAction::Complete);
         }
         actions
@@ -151,12 +151,12 @@
 
     fn fail(&mut self, now: Timestamp, index: usize, attempt: u32) -> Vec<GroupAction> {
         let sample = &mut self.samples[index];
-        if sample.running.remove(&attempt).is_none() || sample.done || !sample.running.is_empty() {
+        if sample.running.remove(&attempt).is_none() || sample.is_done || !sample.running.is_empty() {
             return Vec::new();
         }
         sample.failures += 1;
         if sample.attempts >= self.settings.max_attempts {
-            self.ended = true;
+            self.has_ended = true;
             return vec![GroupAction::GiveUp];
         }
         let doublings = (sample.failures - 1).min(6);
@@ -181,7 +181,7 @@
     fn is_straggler(&self, now: Timestamp, index: usize) -> bool {
         let sample = &self.samples[index];
         let has_single_attempt =
-            !sample.done && sample.running.len() == 1 && sample.attempts < self.settings.max_attempts;
+            !sample.is_done && sample.running.len() == 1 && sample.attempts < self.settings.max_attempts;
         let is_half_done = self.run_times.len() * 2 >= self.samples.len();
         if self.settings.hedge_factor <= 0.0 || !has_single_attempt || !is_half_done {
             return false;
--- a/crates/trestlerack/src/request/sample.rs
+++ b/crates/trestlerack/src/request/sample.rs
@@ -92,7 +92,8 @@
     tokens: u32,
     versions: Vec<VersionRange>,
     min_version: WeightVersion,
-    engine: Option<(Name, Name, Name)>,
+    /// Engine, zone and owner of the latest attempt.
+    source: Option<(Name, Name, Name)>,
 }
 
 impl SampleAssembler {
@@ -103,12 +104,12 @@
 
     /// Records that an attempt runs on `engine` in `zone`, dispatched by `owner`.
     pub fn start_attempt(&mut self, engine: Name, zone: Name, owner: Name) {
-        self.engine = Some((engine, zone, owner));
+        self.source = Some((engine, zone, owner));
     }
 
     /// Returns the node that dispatched the latest attempt.
     pub fn owner(&self) -> Option<&Name> {
-        self.engine.as_ref().map(|(_, _, owner)| owner)
+        self.source.as_ref().map(|(_, _, owner)| owner)
     }
 
     /// Returns the number of tokens received so far.
@@ -134,7 +135,7 @@
         if version < self.min_version {
             return Err(SampleError::TooOld { version });
         }
-        let (engine, zone, owner) = self.engine.clone().ok_or(SampleError::MissingVersion)?;
+        let (engine, zone, owner) = self.source.clone().ok_or(SampleError::MissingVersion)?;
         self.text.push_str(&chunk.text);
         let from = self.tokens;
         self.tokens += chunk.tokens;
