--- a/crates/trestlerack/src/process/draining.rs
+++ b/crates/trestlerack/src/process/draining.rs
@@ -2,7 +2,7 @@
 
 use super::BroadcastQueue;
 use crate::Name;
-use crate::connection::{BackendNews, NewsSource};
+use crate::connection::{DrainSource, DrainUpdate};
 use std::collections::{HashMap, HashSet};
 
 /// Maximum number of updates in one heartbeat.
@@ -17,30 +17,31 @@
 #[derive(Clone, Debug, Default)]
 pub struct DrainingServers {
     declared: HashSet<Name>,
-    updates: HashMap<(Name, NewsSource), BackendNews>,
-    outgoing: BroadcastQueue<BackendNews>,
+    updates: HashMap<(Name, DrainSource), DrainUpdate>,
+    outgoing: BroadcastQueue<DrainUpdate>,
 }
 
 impl DrainingServers {
     /// Returns whether `backend` receives no new work.
     pub fn is_draining(&self, backend: &str) -> bool {
-        let sources = [NewsSource::Answer, NewsSource::Order, NewsSource::List];
+        let sources = [DrainSource::Server, DrainSource::Operator, DrainSource::Platform];
         sources.iter().any(|source| self.is_reported(backend, *source)) || self.declared.contains(backend)
     }
 
     /// Replaces what the platform's list says: the servers in `leaving` are draining and no others.
     /// Returns the servers whose state in the list has changed.
     pub fn merge_list(&mut self, leaving: &[Name], stamp: u64, nodes: usize) -> Vec<Name> {
-        let listed = self.updates.values().filter(|update| update.source == NewsSource::List && update.leaving);
+        let listed = self.updates.values().filter(|update| update.source == DrainSource::Platform && update.leaving);
         let returned: Vec<Name> =
             listed.map(|update| update.backend.clone()).filter(|backend| !leaving.contains(backend)).collect();
-        let newly_listed = leaving.iter().filter(|backend| !self.is_reported(backend, NewsSource::List)).cloned();
+        let newly_listed = leaving.iter().filter(|backend| !self.is_reported(backend, DrainSource::Platform)).cloned();
         let changes: Vec<(Name, bool)> = newly_listed
             .map(|backend| (backend, true))
             .chain(returned.into_iter().map(|backend| (backend, false)))
             .collect();
         for (backend, leaving) in &changes {
-            let update = BackendNews { backend: backend.clone(), source: NewsSource::List, leaving: *leaving, stamp };
+            let update =
+                DrainUpdate { backend: backend.clone(), source: DrainSource::Platform, leaving: *leaving, stamp };
             self.merge(update, nodes);
         }
         changes.into_iter().map(|(backend, _)| backend).collect()
@@ -57,7 +58,7 @@
 
     /// Merges an update of a peer or of this node and queues it for gossip. Returns whether it was newer
     /// than what was known.
-    pub fn merge(&mut self, update: BackendNews, nodes: usize) -> bool {
+    pub fn merge(&mut self, update: DrainUpdate, nodes: usize) -> bool {
         let key = (update.backend.clone(), update.source);
         let known = self.updates.get(&key);
         if known.is_some_and(|known| known.stamp >= update.stamp) {
@@ -71,20 +72,20 @@
     /// Records whether a backend server called itself draining in an answer at wall clock millisecond
     /// `stamp`. Only a change becomes an update.
     pub fn record_answer(&mut self, backend: &Name, leaving: bool, stamp: u64, nodes: usize) {
-        if self.is_reported(backend, NewsSource::Answer) != leaving {
-            let update = BackendNews { backend: backend.clone(), source: NewsSource::Answer, leaving, stamp };
+        if self.is_reported(backend, DrainSource::Server) != leaving {
+            let update = DrainUpdate { backend: backend.clone(), source: DrainSource::Server, leaving, stamp };
             self.merge(update, nodes);
         }
     }
 
     /// Returns whether the newest update from `source` calls the server draining.
-    fn is_reported(&self, backend: &str, source: NewsSource) -> bool {
+    fn is_reported(&self, backend: &str, source: DrainSource) -> bool {
         let update = self.updates.get(&(Name::from(backend), source));
         update.is_some_and(|update| update.leaving)
     }
 
     /// Takes the updates to send with the next heartbeat.
-    pub fn take_updates(&mut self) -> Vec<BackendNews> {
+    pub fn take_updates(&mut self) -> Vec<DrainUpdate> {
         self.outgoing.take(MAX_UPDATES)
     }
 }
--- a/crates/trestlerack/src/process/ownership.rs
+++ b/crates/trestlerack/src/process/ownership.rs
@@ -3,7 +3,7 @@
 
 use super::PeerInfo;
 use crate::hash::{hash_parts, rendezvous_weight};
-use crate::{Name, PlaceSet};
+use crate::{AllowedZones, Name};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
@@ -48,13 +48,13 @@
     }
 
     /// Returns the owner of a group: a node in the campaign's allowed zones.
-    pub fn group_owner(&self, campaign: &str, step: u64, group: &str, places: &PlaceSet) -> Option<&EligibleNode> {
+    pub fn group_owner(&self, campaign: &str, step: u64, group: &str, places: &AllowedZones) -> Option<&EligibleNode> {
         let key = hash_parts(&["group", campaign, &step.to_string(), group]);
         self.best_candidate(key, |node| places.allows(&node.zone))
     }
 
     /// Returns the owner of a campaign: the node that seals its steps and asks for its groups.
-    pub fn campaign_owner(&self, campaign: &str, places: &PlaceSet) -> Option<&EligibleNode> {
+    pub fn campaign_owner(&self, campaign: &str, places: &AllowedZones) -> Option<&EligibleNode> {
         self.best_candidate(hash_parts(&["campaign", campaign]), |node| places.allows(&node.zone))
     }
 
@@ -68,7 +68,7 @@
     }
 
     /// Returns the peer in the campaign's allowed zones that holds a copy of a spooled group.
-    pub fn spool_peer(&self, key: &str, own: &str, places: &PlaceSet) -> Option<&EligibleNode> {
+    pub fn spool_peer(&self, key: &str, own: &str, places: &AllowedZones) -> Option<&EligibleNode> {
         self.best_candidate(hash_parts(&["spool", key]), |node| node.name.as_ref() != own && places.allows(&node.zone))
     }
 
@@ -151,7 +151,7 @@
     }
 
     /// Returns the owners of a model's engines that `places` allows, in name order.
-    pub fn model_owners(&self, model: &str, places: &PlaceSet) -> Vec<ModelOwner> {
+    pub fn model_owners(&self, model: &str, places: &AllowedZones) -> Vec<ModelOwner> {
         let Some(owners) = self.by_model.get(model) else { return Vec::new() };
         let allowed = owners.iter().filter(|((_, zone), _)| places.allows(zone));
         allowed
--- a/crates/trestlerack/src/request/group.rs
+++ b/crates/trestlerack/src/request/group.rs
@@ -1,4 +1,4 @@
-//! Drives the samples of one group: starts them, tries them again and hedges stragglers.
+//! Drives the samples of one group: starts them, retries failures and hedges stragglers.
 
 use crate::Timestamp;
 use serde::{Deserialize, Serialize};
@@ -9,12 +9,12 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default)]
 pub struct GroupSettings {
-    /// Attempts for a sample at most, hedges included.
+    /// Maximum attempts per sample, including hedges.
     pub max_attempts: u32,
-    /// Wait before a failed sample is tried again; it doubles with each failure.
+    /// Delay before the first retry of a sample; it doubles with each failure.
     pub retry_wait: Duration,
-    /// A sample is a straggler once it runs longer than this many times the median of those done;
-    /// 0 turns hedging off.
+    /// A sample is a straggler if it runs longer than this multiple of the median run time of the
+    /// finished samples; 0 disables hedging.
     pub hedge_factor: f64,
     /// Shortest run time at which a sample counts as a straggler.
     pub hedge_floor: Duration,
@@ -31,10 +31,10 @@
     }
 }
 
-/// What a driver is told.
+/// An input of [`GroupDriver::handle`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GroupEvent {
-    /// The group begins.
+    /// Start all samples.
     Begin,
     /// An attempt at a sample succeeded.
     Finished {
@@ -54,7 +54,7 @@
     Tick,
 }
 
-/// What a driver asks for.
+/// An action that the caller of [`GroupDriver::handle`] must carry out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GroupAction {
     /// Start an attempt at a sample.
@@ -63,10 +63,10 @@
         index: usize,
         /// Number of the attempt, from 1.
         attempt: u32,
-        /// Whether it runs beside an earlier attempt that is late.
+        /// Whether it is a hedge, which runs concurrently with an earlier attempt that is late.
         hedge: bool,
     },
-    /// Cancel an attempt whose sample was finished by another one.
+    /// Cancel an attempt, because another attempt finished the sample.
     Cancel {
         /// Index of the sample.
         index: usize,
@@ -75,7 +75,7 @@
     },
     /// Every sample is finished.
     Complete,
-    /// A sample used up its attempts; the group is given up on this node.
+    /// A sample has used all of its attempts; this node gives up the group.
     GiveUp,
 }
 
@@ -84,8 +84,8 @@
     attempts: u32,
     running: BTreeMap<u32, Timestamp>,
     failures: u32,
-    not_before: Option<Timestamp>,
-    done: bool,
+    retry_at: Option<Timestamp>,
+    is_done: bool,
 }
 
 /// Drives one group of samples.
@@ -94,24 +94,25 @@
     settings: GroupSettings,
     samples: Vec<SampleState>,
     run_times: Vec<Duration>,
-    ended: bool,
+    has_ended: bool,
 }
 
 impl GroupDriver {
     /// Builds a driver for `size` samples.
     pub fn new(settings: GroupSettings, size: usize) -> Self {
         let samples = vec![SampleState::default(); size];
-        Self { settings, samples, run_times: Vec::new(), ended: false }
+        Self { settings, samples, run_times: Vec::new(), has_ended: false }
     }
 
-    /// Handles one event. `may_hedge` is asked once for each hedge, since asking spends budget.
+    /// Handles one event. `may_hedge` is called once for each hedge, because a call that returns
+    /// `true` spends from the retry budget.
     pub fn handle(
         &mut self,
         now: Timestamp,
         event: &GroupEvent,
         mut may_hedge: impl FnMut() -> bool,
     ) -> Vec<GroupAction> {
-        if self.ended {
+        if self.has_ended {
             return Vec::new();
         }
         match *event {
@@ -125,7 +126,7 @@
     fn start(&mut self, now: Timestamp, index: usize, hedge: bool) -> GroupAction {
         let sample = &mut self.samples[index];
         sample.attempts += 1;
-        sample.not_before = None;
+        sample.retry_at = None;
         sample.running.insert(sample.attempts, now);
         GroupAction::Start { index, attempt: sample.attempts, hedge }
     }
@@ -133,16 +134,16 @@
     fn finish(&mut self, now: Timestamp, index: usize, attempt: u32) -> Vec<GroupAction> {
         let sample = &mut self.samples[index];
         let Some(started) = sample.running.remove(&attempt) else { return Vec::new() };
-        if sample.done {
+        if sample.is_done {
             return Vec::new();
         }
-        sample.done = true;
-        let losers = std::mem::take(&mut sample.running);
+        sample.is_done = true;
+        let superseded = std::mem::take(&mut sample.running);
         self.run_times.push(now.since(started));
         let mut actions: Vec<GroupAction> =
-            losers.into_keys().map(|attempt| GroupAction::Cancel { index, attempt }).collect();
-        if self.samples.iter().all(|sample| sample.done) {
-            self.ended = true;
+            superseded.into_keys().map(|attempt| GroupAction::Cancel { index, attempt }).collect();
+        if self.samples.iter().all(|sample| sample.is_done) {
+            self.has_ended = true;
             actions.push(GroupAction::Complete);
         }
         actions
@@ -150,23 +151,23 @@
 
     fn fail(&mut self, now: Timestamp, index: usize, attempt: u32) -> Vec<GroupAction> {
         let sample = &mut self.samples[index];
-        if sample.running.remove(&attempt).is_none() || sample.done || !sample.running.is_empty() {
+        if sample.running.remove(&attempt).is_none() || sample.is_done || !sample.running.is_empty() {
             return Vec::new();
         }
         sample.failures += 1;
         if sample.attempts >= self.settings.max_attempts {
-            self.ended = true;
+            self.has_ended = true;
             return vec![GroupAction::GiveUp];
         }
         let doublings = (sample.failures - 1).min(6);
-        sample.not_before = Some(now + self.settings.retry_wait * 2_u32.pow(doublings));
+        sample.retry_at = Some(now + self.settings.retry_wait * 2_u32.pow(doublings));
         Vec::new()
     }
 
     fn tick(&mut self, now: Timestamp, may_hedge: &mut impl FnMut() -> bool) -> Vec<GroupAction> {
         let mut actions = Vec::new();
         for index in 0..self.samples.len() {
-            if self.samples[index].not_before.is_some_and(|at| now >= at) {
+            if self.samples[index].retry_at.is_some_and(|at| now >= at) {
                 actions.push(self.start(now, index, false));
             } else if self.is_straggler(now, index) && may_hedge() {
                 actions.push(self.start(now, index, true));
@@ -175,13 +176,14 @@
         actions
     }
 
-    /// A sample is a straggler when it has one attempt running, at least half of the group is
-    /// done, and it runs much longer than those did.
+    /// Returns whether a sample is a straggler: it has exactly one running attempt, at least half of the
+    /// group is finished, and it runs longer than the limit derived from their median run time.
     fn is_straggler(&self, now: Timestamp, index: usize) -> bool {
         let sample = &self.samples[index];
-        let alone = !sample.done && sample.running.len() == 1 && sample.attempts < self.settings.max_attempts;
-        let enough_done = self.run_times.len() * 2 >= self.samples.len();
-        if self.settings.hedge_factor <= 0.0 || !alone || !enough_done {
+        let has_single_attempt =
+            !sample.is_done && sample.running.len() == 1 && sample.attempts < self.settings.max_attempts;
+        let is_half_done = self.run_times.len() * 2 >= self.samples.len();
+        if self.settings.hedge_factor <= 0.0 || !has_single_attempt || !is_half_done {
             return false;
         }
         let started = sample.running.values().next().copied().unwrap_or(now);
--- a/crates/trestlerack/tests/exactly_once.rs
+++ b/crates/trestlerack/tests/exactly_once.rs
@@ -78,7 +78,7 @@
         let mut lines = Vec::new();
         for group in &row.sealed {
             let content = loop {
-                if let Ok(content) = trestlerack::border::ObjectStore::get(store, &group.object).await {
+                if let Ok(content) = trestlerack::interfaces::ObjectStore::get(store, &group.object).await {
                     break content.expect("a sealed group's object exists");
                 }
             };
--- a/crates/trestlerack/tests/peers.rs
+++ b/crates/trestlerack/tests/peers.rs
@@ -6,13 +6,13 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
 use support::for_seeds;
-use trestlerack::border::ListedNode;
-use trestlerack::connection::{BackendNews, NewsSource};
+use trestlerack::connection::{DrainSource, DrainUpdate};
+use trestlerack::interfaces::ListedNode;
 use trestlerack::process::{
     DrainingServers, EligibleNode, EngineOwners, MembershipAction, MembershipEvent, MembershipSettings, OwnershipView,
     PeerInfo, PeerMembership,
 };
-use trestlerack::{Name, PlaceSet, Timestamp};
+use trestlerack::{AllowedZones, Name, Timestamp};
 
 const TICK_MS: u64 = 500;
 
@@ -197,7 +197,7 @@
     for_seeds(20, |seed| {
         let mut peers = Peers::new(seed, 24);
         peers.run(20);
-        let update = BackendNews { backend: "engine".into(), source: NewsSource::Order, leaving: true, stamp: 1 };
+        let update = DrainUpdate { backend: "engine".into(), source: DrainSource::Operator, leaving: true, stamp: 1 };
         peers.peers[0].draining.merge(update, 24);
         peers.run(8);
         let uninformed = peers.peers.iter().filter(|peer| !peer.draining.is_draining("engine")).count();
@@ -208,10 +208,10 @@
 #[test]
 fn an_answer_does_not_override_an_operators_drain_order() {
     let mut draining = DrainingServers::default();
-    draining.merge(BackendNews { backend: "e".into(), source: NewsSource::Order, leaving: true, stamp: 1 }, 3);
+    draining.merge(DrainUpdate { backend: "e".into(), source: DrainSource::Operator, leaving: true, stamp: 1 }, 3);
     draining.record_answer(&"e".into(), false, 2, 3);
     assert!(draining.is_draining("e"));
-    draining.merge(BackendNews { backend: "e".into(), source: NewsSource::Order, leaving: false, stamp: 3 }, 3);
+    draining.merge(DrainUpdate { backend: "e".into(), source: DrainSource::Operator, leaving: false, stamp: 3 }, 3);
     assert!(!draining.is_draining("e"));
 }
 
@@ -235,7 +235,7 @@
                 view = OwnershipView::new(nodes.collect());
                 owners.set_nodes(view.clone());
             }
-            let places = PlaceSet::new(zones.map(Name::from));
+            let places = AllowedZones::new(zones.map(Name::from));
             let mut expected: std::collections::BTreeMap<(Name, Name), u32> = std::collections::BTreeMap::new();
             for (engine, zone) in &engines {
                 if let Some(owner) = view.engine_owner(engine, zone) {
--- a/crates/trestlerack/tests/printed_texts.rs
+++ b/crates/trestlerack/tests/printed_texts.rs
@@ -24,7 +24,7 @@
 
 #[test]
 fn the_end_of_a_run_keeps_its_texts() {
-    let ends = [RunEnd::Whole, RunEnd::Broken, RunEnd::NotRun, RunEnd::Failed, RunEnd::Impossible];
+    let ends = [RunEnd::Complete, RunEnd::Broken, RunEnd::NotRun, RunEnd::Failed, RunEnd::Rejected];
     assert_eq!(ends.map(RunEnd::as_str), ["whole", "broken", "notrun", "failed", "impossible"]);
 }
 
--- a/crates/trestlerack/tests/store_rates.rs
+++ b/crates/trestlerack/tests/store_rates.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use trestlerack::Timestamp;
-use trestlerack::border::StoreError;
+use trestlerack::interfaces::StoreError;
 use trestlerack::process::{DirectWay, NODE_PARTITIONS, WayChange, node_partition, rate_limit_backoff};
 
 /// Transactions per second that a partition accepts; it queues up to one second of them.
