--- a/crates/trestlerack/src/process/expectation.rs
+++ b/crates/trestlerack/src/process/expected_latency.rs
@@ -4,10 +4,10 @@
 //! customers share them; see
 //! [docs/design/uneven-load.md](../../../../docs/design/uneven-load.md).
 
-use super::answer_time::AnswerTimes;
-use super::placement::{ServerBoard, ServerNeed, ServerRoom};
-use super::server_belief::ServerBelief;
-use super::standing::{PeerFigures, SLOW_FACTOR, ServerFigures, ServerStanding};
+use super::latency_estimate::AnswerTimes;
+use super::load_balancer::{ServerBoard, ServerNeed, ServerRoom};
+use super::server_health::{PeerFigures, SLOW_FACTOR, ServerFigures, ServerStanding};
+use super::server_state::ServerBelief;
 use crate::hash::{hash_parts, rendezvous_weight};
 use crate::{Name, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/trestlerack/src/process/placement.rs
+++ b/crates/trestlerack/src/process/load_balancer.rs
@@ -3,12 +3,12 @@
 //! Beliefs come from service discovery, from the servers' own answers and from the runs that this
 //! node made on them; no server is asked anything only to learn its state.
 
-use super::answer_time::AnswerTimes;
 use super::engine_memory::{EngineMemory, TokenNeed};
-use super::expectation::LearntTimes;
+use super::expected_latency::LearntTimes;
+use super::latency_estimate::AnswerTimes;
 use super::registry::{ServerEntry, ServerRegistry};
-use super::server_belief::{ChoiceBasis, ServerBelief, StatedLoad};
-use super::server_notes::NoteOutbox;
+use super::server_observations::NoteOutbox;
+use super::server_state::{ChoiceBasis, ServerBelief, StatedLoad};
 use crate::hash::{hash_parts, rendezvous_weight};
 use crate::time::millis;
 use crate::version::WeightVersion;
--- a/crates/trestlerack/src/process/second_attempt.rs
+++ b/crates/trestlerack/src/process/second_attempt.rs
@@ -3,8 +3,8 @@
 //! Only services whose servers are compared get second attempts this early; see
 //! [docs/design/uneven-load.md](../../../../docs/design/uneven-load.md#parts).
 
-use super::placement::ServerBoard;
-use super::standing::ServerStanding;
+use super::load_balancer::ServerBoard;
+use super::server_health::ServerStanding;
 use crate::Timestamp;
 use std::time::Duration;
 
--- a/crates/trestlerack/src/process/standing.rs
+++ b/crates/trestlerack/src/process/server_health.rs
@@ -4,8 +4,8 @@
 //! A server is compared with the median of its service, never with a constant; see
 //! [docs/design/uneven-load.md](../../../../docs/design/uneven-load.md#parts).
 
-use super::placement::ServerBoard;
-use super::server_belief::ServerBelief;
+use super::load_balancer::ServerBoard;
+use super::server_state::ServerBelief;
 use crate::{Name, Timestamp};
 use std::time::Duration;
 
--- a/crates/trestlerack/src/process/server_notes.rs
+++ b/crates/trestlerack/src/process/server_observations.rs
@@ -3,10 +3,10 @@
 //! Notes keep the age and the number that they got at their origin, so that none is kept alive by being
 //! passed round; see [docs/design/uneven-load.md](../../../../docs/design/uneven-load.md#parts).
 
+use super::load_balancer::ServerBoard;
 use super::news::ServerNote;
-use super::placement::ServerBoard;
-use super::server_belief::ServerBelief;
-use super::standing::{PeerFigures, SLOW_FACTOR, ServerFigures};
+use super::server_health::{PeerFigures, SLOW_FACTOR, ServerFigures};
+use super::server_state::ServerBelief;
 use super::suspects::GossipSettings;
 use crate::time::millis;
 use crate::{Name, Timestamp};
--- a/crates/trestlerack/src/process/server_pace.rs
+++ b/crates/trestlerack/src/process/server_pace.rs
@@ -1,7 +1,7 @@
 //! How fast the model engines of a service make events, against each other.
 
-use super::placement::ServerBoard;
-use super::server_belief::ServerBelief;
+use super::load_balancer::ServerBoard;
+use super::server_state::ServerBelief;
 use crate::{Name, Timestamp};
 use std::collections::HashSet;
 use std::time::Duration;
--- a/crates/trestlerack/src/process/server_belief.rs
+++ b/crates/trestlerack/src/process/server_state.rs
@@ -1,9 +1,9 @@
 //! What a node believes of one backend server.
 
-use super::expectation::{LearntSlowness, StatedSlowness};
+use super::expected_latency::{LearntSlowness, StatedSlowness};
 use super::registry::ServerEntry;
-use super::server_notes::WordRecord;
-use super::standing::{ServerStanding, StandingRecord};
+use super::server_health::{ServerStanding, StandingRecord};
+use super::server_observations::WordRecord;
 use crate::version::WeightVersion;
 use crate::{Name, Timestamp};
 use std::collections::BTreeMap;
--- a/crates/trestlerack/src/process/server_lines.rs
+++ b/crates/trestlerack/src/process/server_status.rs
@@ -1,8 +1,8 @@
 //! What operators see of backend servers: their standing as this node and as its peers see them.
 
-use super::placement::ServerBoard;
-use super::server_belief::ServerBelief;
-use super::standing::{ServerFigures, ServerStanding};
+use super::load_balancer::ServerBoard;
+use super::server_health::{ServerFigures, ServerStanding};
+use super::server_state::ServerBelief;
 use crate::time::millis;
 use crate::{Name, Timestamp};
 
--- a/crates/trestlerack/src/process/wait_estimate.rs
+++ b/crates/trestlerack/src/process/wait_estimate.rs
@@ -1,7 +1,7 @@
 //! How long a service is expected to take for one more call.
 
-use super::placement::ServerBoard;
-use super::server_belief::ServerBelief;
+use super::load_balancer::ServerBoard;
+use super::server_state::ServerBelief;
 use crate::Timestamp;
 use std::time::Duration;
 
