--- a/crates/trestlerack/benches/decisions.rs
+++ b/crates/trestlerack/benches/decisions.rs
@@ -9,8 +9,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 use trestlerack::process::{
-    BoardSettings, Heartbeat, Liveness, MembershipEvent, MembershipSettings, NodeView, OwnerTable, OwnershipView,
-    PeerInfo, PeerMembership, PeerUpdate, ServerBoard, ServerEntry, ServerNeed, ServerRegistry, ServerRoom,
+    BalancerSettings, Heartbeat, Liveness, LoadBalancer, MembershipEvent, MembershipSettings, NodeView, OwnerTable,
+    OwnershipView, PeerInfo, PeerMembership, PeerUpdate, ServerEntry, ServerNeed, ServerRegistry, SlotNeed,
 };
 use trestlerack::request::{
     ChoicePolicy, DispatchEngine, DispatchEvent, DispatchSettings, EngineChooser, EngineDispatcher, EngineView,
@@ -82,9 +82,9 @@
 const BOARD_ENGINES: [usize; 3] = [44, 300, 3_000];
 
 /// A board whose engines all serve one model and have a known pace.
-fn server_board(engines: usize) -> ServerBoard {
+fn server_board(engines: usize) -> LoadBalancer {
     let mut registry = ServerRegistry::default();
-    let mut board = ServerBoard::new(BoardSettings::default());
+    let mut balancer = LoadBalancer::new(BalancerSettings::default());
     for number in 0..engines {
         let entry = ServerEntry {
             instance: engine_name(number),
@@ -99,33 +99,33 @@
         };
         registry.put(entry);
     }
-    board.sync(&registry);
+    balancer.sync(&registry);
     for number in 0..engines {
         let pace = Duration::from_millis(35 + number as u64 % 10);
-        board.event_gap(Timestamp(10_000), &engine_name(number), pace);
+        balancer.record_event_gap(Timestamp(10_000), &engine_name(number), pace);
     }
-    board
+    balancer
 }
 
 /// A driver chooses an engine for an item, and the choice changes what is in flight.
 fn place_item(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("place-item");
     for engines in BOARD_ENGINES {
-        let mut board = server_board(engines);
+        let mut balancer = server_board(engines);
         let need = ServerNeed {
             service: "models",
             weights: Some(("model", 1)),
-            room: ServerRoom::Place,
+            slot_need: SlotNeed::One,
             zone: "zone-1",
             tie_key: "node-1",
             ..ServerNeed::default()
         };
         group.bench_function(BenchmarkId::from_parameter(engines), |bencher| {
             bencher.iter(|| {
-                let chosen = board.choose(Timestamp(10_100), &need).map(|belief| belief.entry.instance.clone());
+                let chosen = balancer.choose(Timestamp(10_100), &need).map(|server| server.entry.instance.clone());
                 if let Some(engine) = chosen {
-                    board.started(&engine);
-                    board.ended(&engine);
+                    balancer.started(&engine);
+                    balancer.ended(&engine);
                 }
             });
         });
--- a/crates/trestlerack/src/process/direct_access.rs
+++ b/crates/trestlerack/src/process/direct_access.rs
@@ -1,70 +1,74 @@
-//! Whether a node's own way to the store is to be used, or that through peers.
+//! Whether a node calls the store directly or through its peers.
 
 use crate::Timestamp;
 use crate::border::StoreError;
 use std::time::Duration;
 
-/// Calls refused for their rate, with none answered in between, from which the way is in doubt. A
-/// store that is only busy answers some of a node's calls, since rates hold for each partition and
-/// for all nodes together.
-const REFUSALS: u32 = 5;
+/// Rate-limited calls without a success in between from which direct access is in doubt. A store that is only
+/// busy answers some of a node's calls, since rates apply to each partition and to all nodes together.
+const MIN_RATE_LIMITED_CALLS: u32 = 5;
 
-/// Time that those refusals must span, so that calls sent together count as one sign.
-const REFUSED_TIME: Duration = Duration::from_millis(400);
+/// Time that those calls must span, so that calls sent together do not suffice.
+const MIN_RATE_LIMITED_TIME: Duration = Duration::from_millis(400);
 
-/// A change of what is believed of the way.
+/// A change of the assumed state of direct access.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WayChange {
+pub enum AccessChange {
     /// The store does not serve this node.
     Lost,
-    /// It does again.
+    /// The store serves this node again.
     Regained,
 }
 
-/// Judges a node's own way to the store by how its direct calls end.
+/// Decides from the results of a node's direct calls whether the store can be reached directly.
 ///
-/// A call refused for its rate says that the way is open, and another way to the same store would
-/// only add to the calls. A store that refuses every call of one node with that status, while it
-/// serves others, is the exception: that node serves on through peers. See
-/// [docs/PLATFORM.md](../../../../docs/PLATFORM.md#when-the-store-cannot-be-reached).
+/// A rate-limited call shows that the store can be reached, and calls through peers would only add to its load.
+/// The exception is a store that rate-limits every call of one node while it serves others: that node continues
+/// through peers. See [docs/PLATFORM.md](../../../../docs/PLATFORM.md#when-the-store-cannot-be-reached).
 #[derive(Debug, Default)]
-pub struct DirectWay {
-    is_doubtful: bool,
-    refusals: u32,
-    refused_since: Timestamp,
-    /// When the store answered a direct call last.
+pub struct DirectAccess {
+    prefers_peers: bool,
+    rate_limited_calls: u32,
+    rate_limited_since: Timestamp,
+    /// When the store last answered a direct call.
     answered_at: Timestamp,
 }
 
-impl DirectWay {
+impl DirectAccess {
     /// Returns whether peers are to be asked first.
-    pub fn is_doubtful(&self) -> bool {
-        self.is_doubtful
+    pub fn prefers_peers(&self) -> bool {
+        self.prefers_peers
     }
 
-    /// Takes note of how a direct call ended that was sent at `sent_at`; `failure` is `None` if the store
+    /// Records the result of a direct call that was sent at `sent_at`; `failure` is `None` if the store
     /// answered it.
     ///
-    /// A call without an answer says nothing of the way where the store answered others meanwhile: its
-    /// partition has many to carry out.
-    pub fn note(&mut self, sent_at: Timestamp, now: Timestamp, failure: Option<StoreError>) -> Option<WayChange> {
-        let was_doubtful = self.is_doubtful;
+    /// A call without an answer does not count if the store has answered others since it was sent: its
+    /// partition has many calls to execute.
+    pub fn record_result(
+        &mut self,
+        sent_at: Timestamp,
+        now: Timestamp,
+        failure: Option<StoreError>,
+    ) -> Option<AccessChange> {
+        let preferred_peers = self.prefers_peers;
         match failure {
-            None => (self.refusals, self.is_doubtful, self.answered_at) = (0, false, now),
+            None => (self.rate_limited_calls, self.prefers_peers, self.answered_at) = (0, false, now),
             Some(StoreError::Unknown) if self.answered_at > sent_at => {}
             Some(StoreError::RateLimited) => {
-                if self.refusals == 0 {
-                    self.refused_since = now;
+                if self.rate_limited_calls == 0 {
+                    self.rate_limited_since = now;
                 }
-                self.refusals += 1;
-                let is_shut = self.refusals >= REFUSALS && now.since(self.refused_since) >= REFUSED_TIME;
-                self.is_doubtful |= is_shut;
+                self.rate_limited_calls += 1;
+                let is_rate_limited = self.rate_limited_calls >= MIN_RATE_LIMITED_CALLS
+                    && now.since(self.rate_limited_since) >= MIN_RATE_LIMITED_TIME;
+                self.prefers_peers |= is_rate_limited;
             }
-            Some(StoreError::Unavailable | StoreError::Unknown) => self.is_doubtful = true,
+            Some(StoreError::Unavailable | StoreError::Unknown) => self.prefers_peers = true,
         }
-        match (was_doubtful, self.is_doubtful) {
-            (false, true) => Some(WayChange::Lost),
-            (true, false) => Some(WayChange::Regained),
+        match (preferred_peers, self.prefers_peers) {
+            (false, true) => Some(AccessChange::Lost),
+            (true, false) => Some(AccessChange::Regained),
             _ => None,
         }
     }
--- a/crates/trestlerack/src/process/event_pace.rs
+++ b/crates/trestlerack/src/process/event_pace.rs
@@ -1,41 +1,40 @@
-//! The pace at which an engine makes events, as its caller sees it.
+//! The pace at which an engine generates events, as observed by its caller.
 
 use super::SuspensionGauge;
 use std::time::Duration;
 
-/// Time after a suspension of the caller's VM in which events arrive that were held up meanwhile: they
-/// come faster than the engine makes them. Reckoned: links bring what waited within some ten
-/// milliseconds.
+/// Time after a suspension of the caller's VM during which delayed events arrive, faster than the engine
+/// generates them. Links deliver what was waiting within about ten milliseconds.
 const SETTLE_TIME: Duration = Duration::from_millis(300);
 
 /// The time between events of one run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EventPace {
-    gauge: SuspensionGauge,
-    last: Option<Duration>,
-    settled_from: Duration,
+    suspensions: SuspensionGauge,
+    last_arrival: Option<Duration>,
+    valid_from: Duration,
 }
 
-/// What some events that came together say.
+/// The pace of events that arrived together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PaceSample {
-    /// Time since the events before.
+    /// Time since the previous arrival.
     pub gap: Duration,
-    /// That time for each event.
+    /// That time divided by the number of events.
     pub pace: Duration,
 }
 
 impl EventPace {
-    /// Records `count` events that came together, by both clocks. The first ones say nothing, because the
-    /// prompt is read before them; nor do those after which the VM was suspended, and those that
-    /// arrive just afterwards.
-    pub fn arrived(&mut self, since_boot: Duration, monotonic: Duration, count: usize) -> Option<PaceSample> {
-        if self.gauge.read(since_boot, monotonic).is_some() {
-            self.settled_from = since_boot + SETTLE_TIME;
+    /// Records `count` events that arrived together, with the time on both clocks. Returns no sample for the
+    /// first events, which also include the prefill of the prompt, and none for events that arrive during or
+    /// shortly after a suspension of the VM.
+    pub fn record_arrival(&mut self, since_boot: Duration, monotonic: Duration, count: usize) -> Option<PaceSample> {
+        if self.suspensions.read(since_boot, monotonic).is_some() {
+            self.valid_from = since_boot + SETTLE_TIME;
         }
-        let is_settled = since_boot >= self.settled_from;
-        let last = std::mem::replace(&mut self.last, is_settled.then_some(since_boot));
-        let gap = since_boot.saturating_sub(last.filter(|_| is_settled)?);
+        let is_valid = since_boot >= self.valid_from;
+        let previous = std::mem::replace(&mut self.last_arrival, is_valid.then_some(since_boot));
+        let gap = since_boot.saturating_sub(previous.filter(|_| is_valid)?);
         let pace = gap / u32::try_from(count.max(1)).unwrap_or(u32::MAX);
         Some(PaceSample { gap, pace })
     }
--- a/crates/trestlerack/src/process/mod.rs
+++ b/crates/trestlerack/src/process/mod.rs
@@ -51,26 +51,26 @@
 
 pub use broadcast::BroadcastQueue;
 pub use call_rank::{CallRank, call_priority};
-pub use direct_access::{DirectWay, WayChange};
+pub use direct_access::{AccessChange, DirectAccess};
 pub use duty_gate::{DutyGate, DutySettings};
 pub use end_news::{EndNews, EndNewsSettings};
 pub use engine_memory::{EngineMemory, SharedPrompt, TokenNeed};
 pub use entry_settings::{ENTRY_FIELDS, EntrySettings, parse_entry_settings};
 pub use event_pace::{EventPace, PaceSample};
 pub use feed_log::{FeedLog, FeedPlace};
-pub use fleet_controller::{EngineFleet, FleetRow, FleetSettings, ScalingTerms, ZoneEngines, ZoneOrder};
+pub use fleet_controller::{FleetController, FleetRow, FleetSettings, ScalingConfig, ZoneEngines, ZoneOrder};
 pub use held::{
     ByteLedger, CONNECTION_BYTES, DescriptorBoard, DescriptorBounds, DescriptorKind, DescriptorSeat, HeldBounds,
     HeldBytes, HeldPurpose, IdleClient, LedgerView, REQUEST_BYTES, ReadPace, ReaderView, SMALL_BYTES, STREAM_BYTES,
     SendPace, SenderView, TakeRefusal, is_pressed, longest_idle, reader_to_cut, run_limit, sender_to_refuse,
 };
 pub use job_owner::{OwnerCandidate, choose_job_owner, successor_rank};
-pub use latency_estimate::AnswerTimes;
+pub use latency_estimate::LatencyEstimates;
 pub use lease::{LeaseGrant, LeaseKeeper, LeaseRow, LeaseSettings, LeaseStep};
 pub use leaving::LeavingBoard;
 pub use levels::{LevelNode, ask_order, choose_followers, follower_count};
 pub use limiter::{RetryBudget, UserLimiter};
-pub use load_balancer::{BoardSettings, ServerBoard, ServerNeed, ServerRoom};
+pub use load_balancer::{BalancerSettings, LoadBalancer, ServerNeed, SlotNeed};
 pub use membership::{
     Heartbeat, Liveness, MembershipAction, MembershipEvent, MembershipSettings, PeerInfo, PeerMembership, PeerUpdate,
 };
@@ -87,10 +87,10 @@
 };
 pub use run_limits::RunLimits;
 pub use run_move::{LAST_MOVE_SLOWNESS, MOVE_SLOWNESS, RunMove};
-pub use server_health::{ServerFigures, ServerStanding};
-pub use server_observations::server_gossip;
-pub use server_state::{ChoiceBasis, ServerBelief};
-pub use server_status::{ServerLine, ToldLine};
+pub use server_health::{ServerHealth, ServerStats};
+pub use server_observations::server_gossip_settings;
+pub use server_state::{ServerSnapshot, ServerState};
+pub use server_status::{PeerObservation, ServerStatus};
 pub use server_subset::ServerCounts;
 pub use settings::{DaemonSettings, SETTINGS_FIELDS, parse_settings};
 pub use shares::{
--- a/crates/trestlerack/src/process/outlier.rs
+++ b/crates/trestlerack/src/process/outlier.rs
@@ -1,4 +1,4 @@
-//! Sets aside backend servers that look healthy and answer badly, and lets them back in steps.
+//! Ejects backend servers that look healthy but respond with failures, and readmits them gradually.
 
 use crate::{Name, Timestamp};
 use serde::{Deserialize, Serialize};
@@ -9,13 +9,13 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default)]
 pub struct OutlierSettings {
-    /// Bad answers in a row after which a backend server is ejected.
+    /// Consecutive failures after which a backend server is ejected.
     pub max_failures: u32,
-    /// Time of the first ejection; it doubles with each further one.
+    /// Duration of the first ejection; it doubles with each further one.
     pub ejection: Duration,
-    /// Largest share of the backend servers that may be ejected at once, in percent.
+    /// Largest percentage of the backend servers that may be ejected at the same time.
     pub max_ejected_percent: u32,
-    /// Time in which a returning backend server's limit doubles.
+    /// Time in which the limit of a readmitted backend server doubles.
     pub ramp: Duration,
 }
 
@@ -40,7 +40,7 @@
     ejected_until: Option<Timestamp>,
 }
 
-/// Watches the answers of the backend servers of one service.
+/// Detects failing backend servers of one service.
 #[derive(Clone, Debug)]
 pub struct OutlierDetector {
     settings: OutlierSettings,
@@ -48,15 +48,15 @@
 }
 
 impl OutlierDetector {
-    /// Builds a detector that has seen nothing.
+    /// Creates a detector without any records.
     pub fn new(settings: OutlierSettings) -> Self {
         Self { settings, records: BTreeMap::new() }
     }
 
-    /// Records an answer; returns `true` if the backend server is ejected by it.
+    /// Records a response; returns `true` if it ejects the backend server.
     ///
-    /// `backends` is how many serve in all, for the floor.
-    pub fn record(&mut self, now: Timestamp, backend: &Name, good: bool, backends: usize) -> bool {
+    /// `backends` is the total number of backend servers, which limits how many may be ejected.
+    pub fn record_response(&mut self, now: Timestamp, backend: &Name, good: bool, backends: usize) -> bool {
         let ejected = self.records.values().filter(|record| is_ejected(record, now)).count();
         let record = self.records.entry(backend.clone()).or_default();
         if good {
@@ -67,8 +67,8 @@
             return false;
         }
         record.failures += 1;
-        let floor_holds = (ejected + 1) * 100 <= backends * self.settings.max_ejected_percent as usize;
-        if record.failures < self.settings.max_failures || is_ejected(record, now) || !floor_holds {
+        let is_within_limit = (ejected + 1) * 100 <= backends * self.settings.max_ejected_percent as usize;
+        if record.failures < self.settings.max_failures || is_ejected(record, now) || !is_within_limit {
             return false;
         }
         let doublings = record.ejections.min(MAX_DOUBLINGS);
@@ -78,8 +78,8 @@
         true
     }
 
-    /// Returns how many requests `backend` may work on at `now`, out of its `slots`: none while it
-    /// is ejected, then 1, 2, 4 and so on.
+    /// Returns how many of its `slots` a backend server may use at `now`: none while it is ejected, then 1, 2,
+    /// 4 and so on.
     pub fn limit(&self, now: Timestamp, backend: &str, slots: u32) -> u32 {
         self.records.get(backend).map_or(slots, |record| self.settings.limit(record, now, slots))
     }
--- a/crates/trestlerack/src/process/server_health.rs
+++ b/crates/trestlerack/src/process/server_health.rs
@@ -1,194 +1,198 @@
-//! Which backend servers are set aside because their answers are slow or fail against those of their
-//! peers, and how they come back.
+//! Outlier detection by latency and failures: which backend servers get only probe calls because they are
+//! slower or fail more often than their peers, and how they recover.
 //!
 //! A server is compared with the median of its service, never with a constant; see
 //! [docs/design/uneven-load.md](../../../../docs/design/uneven-load.md#parts).
 
-use super::load_balancer::ServerBoard;
-use super::server_state::ServerBelief;
+use super::load_balancer::LoadBalancer;
+use super::server_state::ServerState;
 use crate::{Name, Timestamp};
 use std::time::Duration;
 
-/// Times the median at which answers are slow.
+/// Ratio to the median from which a response counts as slow.
 pub(super) const SLOW_FACTOR: f64 = 2.0;
 
-/// Times the median at which a server is set aside at once: neighbours on its host do not slow a server
+/// Ratio to the median at which a server is degraded at once: noisy neighbours on its host do not slow a server
 /// that much.
-const FAR_TOO_SLOW: f64 = 3.0;
+const IMMEDIATE_SLOW_FACTOR: f64 = 3.0;
 
-/// Time for which all answers of a server must have been slow to set it aside, longer than neighbours on its
-/// host slow it.
-const SLOW_TIME: Duration = Duration::from_millis(2_400);
+/// Time for which all responses of a server must have been slow before it is degraded; longer than noisy
+/// neighbours on its host slow it.
+const MIN_SLOW_TIME: Duration = Duration::from_millis(2_400);
 
-/// Answers that must have shown it.
-const SLOW_ANSWERS: u32 = 12;
+/// Smallest number of slow responses before a server is degraded.
+const MIN_SLOW_RESPONSES: u32 = 12;
 
-/// Share of failing answers at which a server is set aside if the median's is lower.
-const FAILING_SHARE: f64 = 1.0 / 3.0;
+/// Failure rate at which a server is degraded if the median is well below it.
+const MAX_FAILURE_RATE: f64 = 1.0 / 3.0;
 
-/// Calls at once at which a returning server takes part again.
-const RETURNED: u32 = 4;
+/// Limit of concurrent calls after which a recovering server counts as healthy.
+const FULL_RECOVERY_CALLS: u32 = 4;
 
-/// How the answers of a server are at present.
+/// Recent latency and failures of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ServerFigures {
-    /// How many times longer than usual they take.
+pub struct ServerStats {
+    /// Latency relative to the median of the route.
     pub slowness: f64,
-    /// Share of them that fails.
-    pub failing: f64,
+    /// Fraction of the responses that failed, from 0 to 1.
+    pub failure_rate: f64,
 }
 
-/// How the answers of the middle one of a service's servers are.
+/// Median latency and failures of a service's servers.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct PeerFigures {
+pub(super) struct MedianStats {
     slowness: f64,
-    failing: f64,
+    failure_rate: f64,
 }
 
-impl PeerFigures {
-    pub(super) fn of(servers: Vec<ServerFigures>) -> Self {
-        let slowness = servers.iter().map(|figures| figures.slowness).collect();
-        let failing = servers.iter().map(|figures| figures.failing).collect();
-        Self { slowness: lower_median(slowness), failing: lower_median(failing) }
+impl MedianStats {
+    pub(super) fn of(servers: Vec<ServerStats>) -> Self {
+        let slowness = servers.iter().map(|stats| stats.slowness).collect();
+        let failing = servers.iter().map(|stats| stats.failure_rate).collect();
+        Self { slowness: lower_median(slowness), failure_rate: lower_median(failing) }
     }
 
-    /// Returns how many times slower than the middle one a server is.
-    pub(super) fn times_median(&self, figures: ServerFigures) -> f64 {
-        figures.slowness / self.slowness
+    /// Returns the slowness of a server relative to the median server.
+    pub(super) fn ratio_to_median(&self, stats: ServerStats) -> f64 {
+        stats.slowness / self.slowness
     }
 
-    /// Returns whether a server fails often while the middle one does not.
-    pub(super) fn is_failing(&self, figures: ServerFigures) -> bool {
-        figures.failing >= FAILING_SHARE && self.failing < FAILING_SHARE / 2.0
+    /// Returns whether a server fails often while the median server does not.
+    pub(super) fn has_excess_failures(&self, stats: ServerStats) -> bool {
+        stats.failure_rate >= MAX_FAILURE_RATE && self.failure_rate < MAX_FAILURE_RATE / 2.0
     }
 }
 
-/// Of two servers the better one is the measure of the other.
+/// Returns the median; of two values the lower one, so that the worse of two servers is compared with the
+/// better.
 fn lower_median(mut values: Vec<f64>) -> f64 {
     if values.is_empty() {
         return 0.0;
     }
-    let middle = (values.len() - 1) / 2;
-    *values.select_nth_unstable_by(middle, f64::total_cmp).1
+    let middle_index = (values.len() - 1) / 2;
+    *values.select_nth_unstable_by(middle_index, f64::total_cmp).1
 }
 
-/// What share of the calls a server gets.
+/// Whether a server gets its full share of the calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum ServerStanding {
-    /// As much as its expected time brings.
+pub enum ServerHealth {
+    /// Calls according to its expected latency.
     #[default]
-    Well,
-    /// A call now and then, one at a time.
-    Trickle,
-    /// At most so many calls at once.
-    Returning(u32),
+    Healthy,
+    /// Only probe calls, one at a time.
+    Degraded,
+    /// At most this many concurrent calls.
+    Recovering(u32),
 }
 
-impl ServerStanding {
-    /// Returns the word for logs and lists.
+impl ServerHealth {
+    /// Returns the name used in logs and status pages.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Well => "well",
-            Self::Trickle => "trickle",
-            Self::Returning(_) => "returning",
+            Self::Healthy => "well",
+            Self::Degraded => "trickle",
+            Self::Recovering(_) => "returning",
         }
     }
 }
 
-/// The standing of a server by this node's own calls.
+/// The health of a server according to this node's own calls.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct StandingRecord {
-    pub(super) standing: ServerStanding,
-    /// Since when all its answers have been slow.
+pub(super) struct HealthRecord {
+    pub(super) current: ServerHealth,
+    /// Start of the current sequence of slow responses.
     slow_since: Option<Timestamp>,
-    slow_answers: u32,
-    /// Good answers since it began to return, or since its last step.
-    good_answers: u32,
+    slow_responses: u32,
+    /// Good responses since the server began to recover or since its limit last doubled.
+    good_responses: u32,
 }
 
-impl StandingRecord {
-    /// Takes the figures after an answer into account. `may_leave` says whether the floor allows to set
-    /// one more server aside.
-    fn judge(&mut self, now: Timestamp, figures: ServerFigures, peers: &PeerFigures, may_leave: bool) {
-        let times_median = peers.times_median(figures);
-        let has_lasted = self.slow_since.is_some_and(|since| now.since(since) >= SLOW_TIME);
-        let is_slow = (has_lasted && self.slow_answers >= SLOW_ANSWERS) || times_median >= FAR_TOO_SLOW;
-        if is_slow || peers.is_failing(figures) {
-            self.set_aside(may_leave);
-        } else if times_median < SLOW_FACTOR {
-            self.come_back();
+impl HealthRecord {
+    /// Updates the health after a response. `can_degrade` tells whether enough servers would stay healthy.
+    fn update(&mut self, now: Timestamp, stats: ServerStats, median: &MedianStats, can_degrade: bool) {
+        let ratio_to_median = median.ratio_to_median(stats);
+        let has_lasted = self.slow_since.is_some_and(|since| now.since(since) >= MIN_SLOW_TIME);
+        let is_slow =
+            (has_lasted && self.slow_responses >= MIN_SLOW_RESPONSES) || ratio_to_median >= IMMEDIATE_SLOW_FACTOR;
+        if is_slow || median.has_excess_failures(stats) {
+            self.degrade(can_degrade);
+        } else if ratio_to_median < SLOW_FACTOR {
+            self.recover();
         }
     }
 
-    /// Counts an answer that took `times_median` times as long as is usual at the middle one.
-    fn count_answer(&mut self, now: Timestamp, times_median: f64) {
-        if times_median < SLOW_FACTOR {
-            (self.slow_since, self.slow_answers) = (None, 0);
+    /// Counts a response whose latency was `ratio_to_median` times that of the median server.
+    fn count_response(&mut self, now: Timestamp, ratio_to_median: f64) {
+        if ratio_to_median < SLOW_FACTOR {
+            (self.slow_since, self.slow_responses) = (None, 0);
         } else {
             self.slow_since.get_or_insert(now);
-            self.slow_answers += 1;
+            self.slow_responses += 1;
         }
     }
 
-    fn set_aside(&mut self, may_leave: bool) {
-        if may_leave || self.standing != ServerStanding::Well {
-            self.standing = ServerStanding::Trickle;
-            self.good_answers = 0;
+    fn degrade(&mut self, can_degrade: bool) {
+        if can_degrade || self.current != ServerHealth::Healthy {
+            self.current = ServerHealth::Degraded;
+            self.good_responses = 0;
         }
     }
 
-    fn come_back(&mut self) {
-        self.good_answers += 1;
-        self.standing = match self.standing {
-            ServerStanding::Well => ServerStanding::Well,
-            ServerStanding::Trickle => ServerStanding::Returning(1),
-            ServerStanding::Returning(most) if self.good_answers < most => return,
-            ServerStanding::Returning(most) if most >= RETURNED => ServerStanding::Well,
-            ServerStanding::Returning(most) => ServerStanding::Returning(2 * most),
+    fn recover(&mut self) {
+        self.good_responses += 1;
+        self.current = match self.current {
+            ServerHealth::Healthy => ServerHealth::Healthy,
+            ServerHealth::Degraded => ServerHealth::Recovering(1),
+            ServerHealth::Recovering(limit) if self.good_responses < limit => return,
+            ServerHealth::Recovering(limit) if limit >= FULL_RECOVERY_CALLS => ServerHealth::Healthy,
+            ServerHealth::Recovering(limit) => ServerHealth::Recovering(2 * limit),
         };
-        self.good_answers = 0;
+        self.good_responses = 0;
     }
 }
 
-impl ServerBoard {
-    /// Returns the standing of a server, by this node's own calls or else by what peers told.
-    pub fn standing(&self, now: Timestamp, instance: &str) -> ServerStanding {
-        let Some(belief) = self.servers.get(instance) else { return ServerStanding::Well };
-        match belief.record.standing {
-            ServerStanding::Well if self.is_left_on_word(now, belief) => ServerStanding::Trickle,
-            // Nothing was heard of it for long, so one call shows how it is now.
-            ServerStanding::Trickle if self.is_forgotten(now, belief) => ServerStanding::Returning(1),
-            standing => standing,
+impl LoadBalancer {
+    /// Returns the health of a server, by this node's own calls or else by peer observations.
+    pub fn health(&self, now: Timestamp, instance: &str) -> ServerHealth {
+        let Some(server) = self.servers.get(instance) else { return ServerHealth::Healthy };
+        match server.health.current {
+            ServerHealth::Healthy if self.is_degraded_by_peers(now, server) => ServerHealth::Degraded,
+            // The measurements have decayed, so one call at a time shows the present state.
+            ServerHealth::Degraded if self.has_decayed(now, server) => ServerHealth::Recovering(1),
+            health => health,
         }
     }
 
-    fn is_forgotten(&self, now: Timestamp, belief: &ServerBelief) -> bool {
-        let figures = self.figures(now, belief);
-        let peers = self.peer_figures(now, &belief.entry.service);
-        peers.times_median(figures) < SLOW_FACTOR && !peers.is_failing(figures)
+    fn has_decayed(&self, now: Timestamp, server: &ServerState) -> bool {
+        let stats = self.server_stats(now, server);
+        let median = self.median_stats(now, &server.entry.service);
+        median.ratio_to_median(stats) < SLOW_FACTOR && !median.has_excess_failures(stats)
     }
 
-    /// Judges a server anew, after an answer that took `factor` times as long as is usual if there was one.
-    pub(super) fn review(&mut self, now: Timestamp, instance: &str, factor: Option<f64>) {
-        let Some(belief) = self.servers.get(instance) else { return };
-        let service = belief.entry.service.clone();
-        let peers = self.peer_figures(now, &service);
-        let may_leave = self.may_leave_one(&service);
-        self.change(instance, |belief| {
-            let figures = belief.learnt.figures(now);
-            if let Some(factor) = factor {
-                belief.record.count_answer(now, peers.times_median(ServerFigures { slowness: factor, ..figures }));
+    /// Updates the health of a server. `latency_ratio` is the latency of its last response relative to the
+    /// median of the route, if there was a response.
+    pub(super) fn update_health(&mut self, now: Timestamp, instance: &str, latency_ratio: Option<f64>) {
+        let Some(server) = self.servers.get(instance) else { return };
+        let service = server.entry.service.clone();
+        let median = self.median_stats(now, &service);
+        let can_degrade = self.can_degrade_one(&service);
+        self.update(instance, |server| {
+            let stats = server.measured.stats(now);
+            if let Some(latency_ratio) = latency_ratio {
+                server
+                    .health
+                    .count_response(now, median.ratio_to_median(ServerStats { slowness: latency_ratio, ..stats }));
             }
-            belief.record.judge(now, figures, &peers, may_leave);
+            server.health.update(now, stats, &median, can_degrade);
         });
-        let is_good = factor.is_some_and(|factor| factor < SLOW_FACTOR);
-        self.tell_if_news(now, instance, &peers, is_good);
+        let is_good = latency_ratio.is_some_and(|latency_ratio| latency_ratio < SLOW_FACTOR);
+        self.announce_if_changed(now, instance, &median, is_good);
     }
 
-    /// Returns whether one more server can be set aside: at least half of a service stays.
-    fn may_leave_one(&self, service: &Name) -> bool {
+    /// Returns whether one more server may be degraded: at least half of a service stays healthy.
+    fn can_degrade_one(&self, service: &Name) -> bool {
         let servers = self.of_service(service).count();
-        let aside = self.of_service(service).filter(|belief| belief.record.standing != ServerStanding::Well).count();
-        2 * (aside + 1) <= servers
+        let degraded = self.of_service(service).filter(|server| server.health.current != ServerHealth::Healthy).count();
+        2 * (degraded + 1) <= servers
     }
 }
--- a/crates/trestlerack/src/process/server_observations.rs
+++ b/crates/trestlerack/src/process/server_observations.rs
@@ -1,288 +1,321 @@
-//! What a node tells its peers of servers, and what it believes of what they tell.
+//! Gossip about backend servers: what a node sends to its peers, and how it uses what they send.
 //!
-//! Notes keep the age and the number that they got at their origin, so that none is kept alive by being
-//! passed round; see [docs/design/uneven-load.md](../../../../docs/design/uneven-load.md#parts).
+//! Observations keep the age and the number that their origin gave them, so that relaying does not extend their
+//! life; see [docs/design/uneven-load.md](../../../../docs/design/uneven-load.md#parts).
 
-use super::load_balancer::ServerBoard;
+use super::load_balancer::LoadBalancer;
 use super::news::ServerNote;
-use super::server_health::{PeerFigures, SLOW_FACTOR, ServerFigures};
-use super::server_state::ServerBelief;
+use super::server_health::{MedianStats, SLOW_FACTOR, ServerStats};
+use super::server_state::ServerState;
 use super::suspects::GossipSettings;
 use crate::time::millis;
 use crate::{Name, Timestamp};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time for which the word of others is believed.
-const BELIEF_TIME: Duration = Duration::from_secs(5);
+/// Age at which an observation expires.
+const OBSERVATION_TTL: Duration = Duration::from_secs(5);
 
-/// Factor by which a learnt time must have moved to be told.
-const TOLD_MOVE: f64 = 1.5;
+/// Smallest factor by which a slowness must change to be gossiped.
+const MIN_SLOWNESS_CHANGE: f64 = 1.5;
 
-/// Added to the age of a note by each message, and more than one takes as a rule: no note gets younger as
-/// it is passed on.
-const MESSAGE_TIME: Duration = Duration::from_millis(100);
+/// Age that each message adds to an observation. It is more than most messages take, so that an observation
+/// does not get younger as it is relayed.
+const AGE_PER_HOP: Duration = Duration::from_millis(100);
 
-/// Share of a service's servers that the word of others may make worse, to the nearest whole server. A
-/// node that is wrong about all of them then takes about a third away at most.
-const WORD_SHARE: f64 = 1.0 / 3.0;
+/// Largest fraction of a service's servers that peer observations may make worse, rounded to the nearest whole
+/// number of servers. A node that wrongly reports all servers then removes at most about a third of them.
+const MAX_PEER_DEGRADED_FRACTION: f64 = 1.0 / 3.0;
 
-/// Notes that a node may send in a second on average, to some peers each, and at once.
-const NOTES_PER_SECOND: f64 = 0.6;
-const NOTES_AT_ONCE: f64 = 6.0;
+/// Observations that a node may send per second on average, each to [`GOSSIP_FANOUT`] peers, and in one burst.
+const OBSERVATIONS_PER_SECOND: f64 = 0.6;
+const OBSERVATION_BURST: f64 = 6.0;
 
-/// Times the median at which a server is set aside by what others told. More than neighbours on its host make
-/// of it; less than own calls must show, since it ends with what is believed.
-const LEFT_FACTOR: f64 = 2.5;
+/// Ratio to the median slowness at which a server is degraded by a peer observation alone. It is higher than
+/// what noisy neighbours on the same host cause, and lower than the ratio that is needed in local measurements,
+/// because the effect ends when the observation expires.
+const PEER_DEGRADED_FACTOR: f64 = 2.5;
 
-/// Peers that are told at once, so that a few lost messages leave nobody out as a rule.
-const TOLD_AT_ONCE: usize = 4;
+/// Peers that each observation is sent to, so that a few lost messages usually leave no node out.
+const GOSSIP_FANOUT: usize = 4;
 
 /// Returns the settings of the gossip about servers.
-pub fn server_gossip() -> GossipSettings {
-    GossipSettings { told_at_once: TOLD_AT_ONCE, ..GossipSettings::default() }
+pub fn server_gossip_settings() -> GossipSettings {
+    GossipSettings { told_at_once: GOSSIP_FANOUT, ..GossipSettings::default() }
 }
 
-/// What peers told of a server.
+/// The last observation of a server received from peers.
 #[derive(Clone, Debug)]
-pub(super) struct ToldBelief {
-    pub(super) figures: ServerFigures,
-    /// When its origin saw this.
-    pub(super) at: Timestamp,
-    /// The node that saw it.
+pub(super) struct ReceivedObservation {
+    pub(super) stats: ServerStats,
+    /// When the origin observed this.
+    pub(super) observed_at: Timestamp,
+    /// The node that observed it.
     pub(super) origin: Name,
 }
 
-/// What was told and heard of one server.
+/// Gossip received and sent about one server.
 #[derive(Clone, Debug, Default)]
-pub(super) struct WordRecord {
-    told: Option<ToldBelief>,
-    /// Last number heard of each origin.
-    heard: BTreeMap<Name, (u64, Timestamp)>,
-    /// What peers are expected to believe, from what was told or heard last.
-    public: Option<(ServerFigures, Timestamp)>,
+pub(super) struct GossipState {
+    received: Option<ReceivedObservation>,
+    /// Last number received from each origin.
+    last_numbers: BTreeMap<Name, (u64, Timestamp)>,
+    /// What peers are expected to know, from the last observation sent or received.
+    announced: Option<(ServerStats, Timestamp)>,
 }
 
-impl ServerBelief {
-    /// Returns what others told, unless this node has seen something younger.
-    pub(super) fn word_of_others(&self, now: Timestamp) -> Option<&ToldBelief> {
-        self.last_word(now).filter(|told| told.at > self.learnt.at)
+impl ServerState {
+    /// Returns the last peer observation, unless this node has a newer measurement of its own.
+    pub(super) fn newer_observation(&self, now: Timestamp) -> Option<&ReceivedObservation> {
+        self.received_observation(now).filter(|received| received.observed_at > self.measured.updated_at)
     }
 
-    /// Returns what others told last, while it is young.
-    pub(super) fn last_word(&self, now: Timestamp) -> Option<&ToldBelief> {
-        self.word.told.as_ref().filter(|told| now.since(told.at) < BELIEF_TIME)
+    /// Returns the last peer observation until it expires.
+    pub(super) fn received_observation(&self, now: Timestamp) -> Option<&ReceivedObservation> {
+        self.gossip.received.as_ref().filter(|received| now.since(received.observed_at) < OBSERVATION_TTL)
     }
 }
 
-/// Notes to be told, one a server, and what may be sent of them.
+/// Observations to be sent, one for each server, and the token bucket that limits them.
 #[derive(Debug)]
-pub(super) struct NoteOutbox {
-    notes: BTreeMap<Name, OutboxNote>,
-    number: u64,
+pub(super) struct ObservationOutbox {
+    pending: BTreeMap<Name, PendingObservation>,
+    last_number: u64,
     allowance: f64,
-    refilled: Timestamp,
+    refilled_at: Timestamp,
 }
 
-impl Default for NoteOutbox {
+impl Default for ObservationOutbox {
     fn default() -> Self {
-        Self { notes: BTreeMap::new(), number: 0, allowance: NOTES_AT_ONCE, refilled: Timestamp::default() }
+        Self {
+            pending: BTreeMap::new(),
+            last_number: 0,
+            allowance: OBSERVATION_BURST,
+            refilled_at: Timestamp::default(),
+        }
     }
 }
 
 #[derive(Clone, Debug)]
-struct OutboxNote {
-    figures: ServerFigures,
-    at: Timestamp,
-    /// Origin and number; `None` for what this node saw itself.
-    passed: Option<(Name, u64)>,
+struct PendingObservation {
+    stats: ServerStats,
+    observed_at: Timestamp,
+    /// Origin and number of a relayed observation; `None` for a local measurement.
+    relayed_from: Option<(Name, u64)>,
 }
 
-impl NoteOutbox {
+impl ObservationOutbox {
     fn refill(&mut self, now: Timestamp) {
-        let earned = now.since(self.refilled).as_secs_f64() * NOTES_PER_SECOND;
-        self.allowance = (self.allowance + earned).min(NOTES_AT_ONCE);
-        self.refilled = now;
+        let earned = now.since(self.refilled_at).as_secs_f64() * OBSERVATIONS_PER_SECOND;
+        self.allowance = (self.allowance + earned).min(OBSERVATION_BURST);
+        self.refilled_at = now;
     }
 
     fn next_number(&mut self) -> u64 {
-        self.number += 1;
-        self.number
+        self.last_number += 1;
+        self.last_number
     }
 }
 
-impl ServerBoard {
-    /// Notes a change of a server to be told, if peers do not believe about the same. That it is better is
-    /// told after a good answer only: what is merely forgotten shows nothing.
-    pub(super) fn tell_if_news(&mut self, now: Timestamp, instance: &str, peers: &PeerFigures, is_good: bool) {
-        let Some(belief) = self.servers.get_mut(instance) else { return };
-        let figures = belief.learnt.figures(now);
-        let before = belief.public_figures(now);
-        let is_better = badness(figures) < badness(before);
-        if !is_news(before, figures, peers) || (is_better && !is_good) {
+impl LoadBalancer {
+    /// Queues an observation of a server if peers do not already know about the same. An improvement is sent
+    /// only after a good response: a slowness that merely decayed is no evidence.
+    pub(super) fn announce_if_changed(&mut self, now: Timestamp, instance: &str, median: &MedianStats, is_good: bool) {
+        let Some(server) = self.servers.get_mut(instance) else { return };
+        let stats = server.measured.stats(now);
+        let before = server.announced_stats(now);
+        let is_better = relative_cost(stats) < relative_cost(before);
+        if !is_significant_change(before, stats, median) || (is_better && !is_good) {
             return;
         }
-        belief.word.public = Some((figures, now));
-        self.outbox.notes.insert(instance.into(), OutboxNote { figures, at: now, passed: None });
+        server.gossip.announced = Some((stats, now));
+        self.outbox.pending.insert(instance.into(), PendingObservation { stats, observed_at: now, relayed_from: None });
     }
 
-    /// Returns whether there is something to tell.
-    pub fn has_notes(&self) -> bool {
-        !self.outbox.notes.is_empty()
+    /// Returns whether observations are waiting to be sent.
+    pub fn has_observations(&self) -> bool {
+        !self.outbox.pending.is_empty()
     }
 
-    /// Takes what `origin`, the node of this board, may tell its peers now. What is left is told later,
-    /// while it is young.
-    pub fn take_notes(&mut self, now: Timestamp, origin: &Name) -> Vec<ServerNote> {
+    /// Takes the observations that may be sent to peers now; `origin` is this node. The rest stays queued until
+    /// it expires.
+    pub fn take_observations(&mut self, now: Timestamp, origin: &Name) -> Vec<ServerNote> {
         self.outbox.refill(now);
-        let mut taken = Vec::new();
+        let mut observations = Vec::new();
         while self.outbox.allowance >= 1.0 {
-            let Some((instance, note)) = self.outbox.notes.pop_first() else { break };
-            let Some(belief) = self.servers.get(&instance) else { continue };
-            if now.since(note.at) >= BELIEF_TIME {
+            let Some((instance, observation)) = self.outbox.pending.pop_first() else { break };
+            let Some(server) = self.servers.get(&instance) else { continue };
+            if now.since(observation.observed_at) >= OBSERVATION_TTL {
                 continue;
             }
             self.outbox.allowance -= 1.0;
-            let (origin, number) = match note.passed {
-                Some(passed) => passed,
+            let (origin, number) = match observation.relayed_from {
+                Some(relayed_from) => relayed_from,
                 None => (origin.clone(), self.outbox.next_number()),
             };
-            taken.push(make_note(now, belief, origin, number, note.figures, note.at));
+            observations.push(make_observation(
+                now,
+                server,
+                origin,
+                number,
+                observation.stats,
+                observation.observed_at,
+            ));
         }
-        taken
+        observations
     }
 
-    /// Returns what a peer that starts is told: what is known of servers that are slow or fail.
-    pub fn known_notes(&mut self, now: Timestamp, origin: &Name) -> Vec<ServerNote> {
-        let mut notes = Vec::new();
-        for belief in self.servers.values() {
-            let (figures, seen_at) = match belief.word_of_others(now) {
-                Some(told) => (told.figures, told.at),
-                None => (belief.learnt.figures(now), belief.learnt.at),
+    /// Returns the observations for a peer that has just started: all of servers that are slow or fail.
+    pub fn known_observations(&mut self, now: Timestamp, origin: &Name) -> Vec<ServerNote> {
+        let mut observations = Vec::new();
+        for server in self.servers.values() {
+            let (stats, observed_at) = match server.newer_observation(now) {
+                Some(received) => (received.stats, received.observed_at),
+                None => (server.measured.stats(now), server.measured.updated_at),
             };
-            let is_telling = figures.slowness >= TOLD_MOVE || figures.failing > 0.0;
-            if !is_telling || now.since(seen_at) >= BELIEF_TIME {
+            let is_notable = stats.slowness >= MIN_SLOWNESS_CHANGE || stats.failure_rate > 0.0;
+            if !is_notable || now.since(observed_at) >= OBSERVATION_TTL {
                 continue;
             }
-            let heard = belief.word_of_others(now).map(|told| told.origin.clone());
-            let number = heard.as_ref().and_then(|origin| belief.word.heard.get(origin)).map(|(number, _)| *number);
+            let relayed_origin = server.newer_observation(now).map(|received| received.origin.clone());
+            let number = relayed_origin
+                .as_ref()
+                .and_then(|origin| server.gossip.last_numbers.get(origin))
+                .map(|(number, _)| *number);
             let number = number.unwrap_or_else(|| self.outbox.next_number());
-            let origin = heard.unwrap_or_else(|| origin.clone());
-            notes.push(make_note(now, belief, origin, number, figures, seen_at));
+            let origin = relayed_origin.unwrap_or_else(|| origin.clone());
+            observations.push(make_observation(now, server, origin, number, stats, observed_at));
         }
-        notes
+        observations
     }
 
-    /// Takes over what a peer told. Returns whether that is news to this node, which then passes it on.
-    pub fn learn_note(&mut self, now: Timestamp, own_name: &Name, note: &ServerNote) -> bool {
-        let age = Duration::from_millis(note.age_ms).saturating_add(MESSAGE_TIME);
-        let Some(belief) = self.servers.get_mut(&note.instance) else { return false };
-        let is_known = belief.word.heard.get(&note.origin).is_some_and(|(number, _)| *number >= note.number);
-        let is_other_start = belief.entry.started_ms != note.started_ms;
-        let Some(figures) = note.figures() else { return false };
-        if age >= BELIEF_TIME || note.origin == *own_name || is_known || is_other_start {
+    /// Merges an observation from a peer. Returns whether it is a significant change, which this node then
+    /// relays.
+    pub fn merge_observation(&mut self, now: Timestamp, own_name: &Name, observation: &ServerNote) -> bool {
+        let age = Duration::from_millis(observation.age_ms).saturating_add(AGE_PER_HOP);
+        let Some(server) = self.servers.get_mut(&observation.instance) else { return false };
+        let is_known = server
+            .gossip
+            .last_numbers
+            .get(&observation.origin)
+            .is_some_and(|(number, _)| *number >= observation.number);
+        let is_other_process = server.entry.started_ms != observation.started_ms;
+        let Some(stats) = observation.stats() else { return false };
+        if age >= OBSERVATION_TTL || observation.origin == *own_name || is_known || is_other_process {
             return false;
         }
-        let at = now - age;
-        belief.word.heard.retain(|_, (_, heard_at)| now.since(*heard_at) < BELIEF_TIME);
-        belief.word.heard.insert(note.origin.clone(), (note.number, at));
-        let before = belief.public_figures(now);
-        let is_younger = |seen_at: Timestamp| at > seen_at;
-        if !is_younger(belief.learnt.at) || belief.word.told.as_ref().is_some_and(|told| !is_younger(told.at)) {
+        let observed_at = now - age;
+        server.gossip.last_numbers.retain(|_, (_, observed_at)| now.since(*observed_at) < OBSERVATION_TTL);
+        server.gossip.last_numbers.insert(observation.origin.clone(), (observation.number, observed_at));
+        let before = server.announced_stats(now);
+        let is_younger = |other: Timestamp| observed_at > other;
+        if !is_younger(server.measured.updated_at)
+            || server.gossip.received.as_ref().is_some_and(|received| !is_younger(received.observed_at))
+        {
             return false;
         }
-        belief.word.told = Some(ToldBelief { figures, at, origin: note.origin.clone() });
-        belief.word.public = Some((figures, at));
-        let service = belief.entry.service.clone();
-        // Nodes tell only of services whose servers they compare.
+        server.gossip.received = Some(ReceivedObservation { stats, observed_at, origin: observation.origin.clone() });
+        server.gossip.announced = Some((stats, observed_at));
+        let service = server.entry.service.clone();
+        // Nodes gossip only about services whose servers they compare.
         self.compare_servers(&service);
-        let peers = self.peer_figures(now, &service);
-        if !is_news(before, figures, &peers) {
+        let median = self.median_stats(now, &service);
+        if !is_significant_change(before, stats, &median) {
             return false;
         }
-        let passed = Some((note.origin.clone(), note.number));
-        self.outbox.notes.insert(note.instance.clone(), OutboxNote { figures, at, passed });
+        let relayed_from = Some((observation.origin.clone(), observation.number));
+        self.outbox
+            .pending
+            .insert(observation.instance.clone(), PendingObservation { stats, observed_at, relayed_from });
         true
     }
 
-    /// Returns what others told of a server where that counts: of those that it makes worse, only the worst
-    /// third.
-    pub(super) fn counted_word<'a>(&self, now: Timestamp, belief: &'a ServerBelief) -> Option<&'a ToldBelief> {
-        let told = belief.word_of_others(now)?;
-        if !is_worse_than_usual(told.figures) {
-            return Some(told);
+    /// Returns the peer observation of a server if it counts: of observations that make servers worse, only the
+    /// worst third of the service does.
+    pub(super) fn trusted_observation<'a>(
+        &self,
+        now: Timestamp,
+        server: &'a ServerState,
+    ) -> Option<&'a ReceivedObservation> {
+        let received = server.newer_observation(now)?;
+        if !is_worse_than_default(received.stats) {
+            return Some(received);
         }
-        let rank = |figures: ServerFigures, instance: &Name| (badness(figures), instance.clone());
-        let own_rank = rank(told.figures, &belief.entry.instance);
-        let (mut count, mut worse) = (0, 0);
-        for other in self.of_service(&belief.entry.service) {
+        let rank = |stats: ServerStats, instance: &Name| (relative_cost(stats), instance.clone());
+        let own_rank = rank(received.stats, &server.entry.instance);
+        let (mut count, mut worse_count) = (0, 0);
+        for other in self.of_service(&server.entry.service) {
             count += 1;
-            let word = other.word_of_others(now).filter(|word| is_worse_than_usual(word.figures));
-            worse += usize::from(word.is_some_and(|word| rank(word.figures, &other.entry.instance) > own_rank));
+            let other_received =
+                other.newer_observation(now).filter(|other_received| is_worse_than_default(other_received.stats));
+            worse_count += usize::from(
+                other_received
+                    .is_some_and(|other_received| rank(other_received.stats, &other.entry.instance) > own_rank),
+            );
         }
-        (worse < (f64::from(count) * WORD_SHARE).round() as usize).then_some(told)
+        (worse_count < (f64::from(count) * MAX_PEER_DEGRADED_FRACTION).round() as usize).then_some(received)
     }
 
-    /// Returns whether a server is left on the word of others alone.
-    pub(super) fn is_left_on_word(&self, now: Timestamp, belief: &ServerBelief) -> bool {
-        let Some(told) = self.counted_word(now, belief) else { return false };
-        let peers = self.peer_figures(now, &belief.entry.service);
-        peers.times_median(told.figures) >= LEFT_FACTOR || peers.is_failing(told.figures)
+    /// Returns whether a server is degraded by peer observations alone.
+    pub(super) fn is_degraded_by_peers(&self, now: Timestamp, server: &ServerState) -> bool {
+        let Some(received) = self.trusted_observation(now, server) else { return false };
+        let median = self.median_stats(now, &server.entry.service);
+        median.ratio_to_median(received.stats) >= PEER_DEGRADED_FACTOR || median.has_excess_failures(received.stats)
     }
 }
 
-/// Returns whether a server of which this was told would get less.
-fn is_worse_than_usual(figures: ServerFigures) -> bool {
-    badness(figures) > 1.0
+/// Returns whether a server with these statistics would get fewer calls than one without any.
+fn is_worse_than_default(stats: ServerStats) -> bool {
+    relative_cost(stats) > 1.0
 }
 
-/// Orders servers by how much longer a call is expected to take there.
-fn badness(figures: ServerFigures) -> f64 {
-    figures.slowness / (1.0 - figures.failing).max(0.01)
+/// Returns the relative time that a call is expected to take, which ranks servers.
+fn relative_cost(stats: ServerStats) -> f64 {
+    stats.slowness / (1.0 - stats.failure_rate).max(0.01)
 }
 
-impl ServerBelief {
-    /// Returns what peers are expected to believe.
-    fn public_figures(&self, now: Timestamp) -> ServerFigures {
-        let young = self.word.public.filter(|(_, at)| now.since(*at) < BELIEF_TIME);
-        young.map_or(ServerFigures { slowness: 1.0, failing: 0.0 }, |(figures, _)| figures)
+impl ServerState {
+    /// Returns what peers are expected to know.
+    fn announced_stats(&self, now: Timestamp) -> ServerStats {
+        let current = self.gossip.announced.filter(|(_, observed_at)| now.since(*observed_at) < OBSERVATION_TTL);
+        current.map_or(ServerStats { slowness: 1.0, failure_rate: 0.0 }, |(stats, _)| stats)
     }
 }
 
-/// Returns whether a change is worth telling: one to or from slow or failing. What varies below that is
-/// of no use to others.
-fn is_news(before: ServerFigures, now: ServerFigures, peers: &PeerFigures) -> bool {
-    let is_slow = |figures: ServerFigures| peers.times_median(figures) >= SLOW_FACTOR;
-    let ratio = now.slowness / before.slowness;
-    let has_moved = ratio >= TOLD_MOVE || ratio <= 1.0 / TOLD_MOVE;
-    let is_about_slow = is_slow(before) || is_slow(now);
-    (has_moved && is_about_slow) || peers.is_failing(before) != peers.is_failing(now)
+/// Returns whether a change is worth sending: one to or from slow or failing. Smaller variations are of no use
+/// to other nodes.
+fn is_significant_change(before: ServerStats, after: ServerStats, median: &MedianStats) -> bool {
+    let is_slow = |stats: ServerStats| median.ratio_to_median(stats) >= SLOW_FACTOR;
+    let ratio = after.slowness / before.slowness;
+    let has_changed = ratio >= MIN_SLOWNESS_CHANGE || ratio <= 1.0 / MIN_SLOWNESS_CHANGE;
+    let involves_slow = is_slow(before) || is_slow(after);
+    (has_changed && involves_slow) || median.has_excess_failures(before) != median.has_excess_failures(after)
 }
 
-fn make_note(
+fn make_observation(
     now: Timestamp,
-    belief: &ServerBelief,
+    server: &ServerState,
     origin: Name,
     number: u64,
-    figures: ServerFigures,
-    at: Timestamp,
+    stats: ServerStats,
+    observed_at: Timestamp,
 ) -> ServerNote {
     ServerNote {
-        instance: belief.entry.instance.clone(),
-        started_ms: belief.entry.started_ms,
+        instance: server.entry.instance.clone(),
+        started_ms: server.entry.started_ms,
         origin,
         number,
-        slowness: figures.slowness as f32,
-        failing: figures.failing as f32,
-        age_ms: millis(now.since(at)),
+        slowness: stats.slowness as f32,
+        failing: stats.failure_rate as f32,
+        age_ms: millis(now.since(observed_at)),
     }
 }
 
 impl ServerNote {
-    /// Returns what the note says, or `None` if it holds no proper figures.
-    fn figures(&self) -> Option<ServerFigures> {
+    /// Returns the statistics in the observation, or `None` if they are out of range.
+    fn stats(&self) -> Option<ServerStats> {
         let (slowness, failing) = (f64::from(self.slowness), f64::from(self.failing));
-        let is_proper = slowness.is_finite() && slowness > 0.0 && (0.0..=1.0).contains(&failing);
-        is_proper.then_some(ServerFigures { slowness, failing })
+        let is_valid = slowness.is_finite() && slowness > 0.0 && (0.0..=1.0).contains(&failing);
+        is_valid.then_some(ServerStats { slowness, failure_rate: failing })
     }
 }
--- a/crates/trestlerack/src/process/server_state.rs
+++ b/crates/trestlerack/src/process/server_state.rs
@@ -1,67 +1,67 @@
-//! What a node believes of one backend server.
+//! What a node knows of one backend server.
 
-use super::expected_latency::{LearntSlowness, StatedSlowness};
+use super::expected_latency::{MeasuredSlowness, ReportedSlowness};
 use super::registry::ServerEntry;
-use super::server_health::{ServerStanding, StandingRecord};
-use super::server_observations::WordRecord;
+use super::server_health::{HealthRecord, ServerHealth};
+use super::server_observations::GossipState;
 use crate::version::WeightVersion;
 use crate::{Name, Timestamp};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Load that a server stated.
+/// Load that a server reported.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct StatedLoad {
-    pub(super) others: u32,
-    pub(super) at: Timestamp,
+pub(super) struct ReportedLoad {
+    pub(super) other_requests: u32,
+    pub(super) reported_at: Timestamp,
 }
 
-/// What this node believes of one server.
+/// What this node knows of one server.
 #[derive(Clone, Debug)]
-pub struct ServerBelief {
+pub struct ServerState {
     /// Its entry in service discovery.
     pub entry: ServerEntry,
-    /// Requests of this node that it works on.
+    /// Requests of this node in progress at the server.
     pub in_flight: u32,
-    /// Requests that this node has sent there.
+    /// Requests that this node has sent to the server.
     pub(super) sent: u64,
-    pub(super) load: StatedLoad,
-    pub(super) stated: Option<StatedSlowness>,
-    pub(super) learnt: LearntSlowness,
-    pub(super) record: StandingRecord,
-    pub(super) word: WordRecord,
+    pub(super) load: ReportedLoad,
+    pub(super) reported_slowness: Option<ReportedSlowness>,
+    pub(super) measured: MeasuredSlowness,
+    pub(super) health: HealthRecord,
+    pub(super) gossip: GossipState,
     pub(super) pace_ms: Option<f64>,
-    pub(super) pace_at: Timestamp,
+    pub(super) pace_measured_at: Timestamp,
     pub(super) failures: u32,
     pub(super) refusals: u32,
-    pub(super) not_before: Timestamp,
+    pub(super) paused_until: Timestamp,
     pub(super) versions: BTreeMap<Name, WeightVersion>,
     pub(super) loading_until: Option<Timestamp>,
 }
 
-impl ServerBelief {
+impl ServerState {
     pub(super) fn new(entry: ServerEntry) -> Self {
         let versions = entry.models.iter().cloned().collect();
         Self {
             entry,
             in_flight: 0,
             sent: 0,
-            load: StatedLoad::default(),
-            stated: None,
-            learnt: LearntSlowness::default(),
-            record: StandingRecord::default(),
-            word: WordRecord::default(),
+            load: ReportedLoad::default(),
+            reported_slowness: None,
+            measured: MeasuredSlowness::default(),
+            health: HealthRecord::default(),
+            gossip: GossipState::default(),
             pace_ms: None,
-            pace_at: Timestamp::default(),
+            pace_measured_at: Timestamp::default(),
             failures: 0,
             refusals: 0,
-            not_before: Timestamp::default(),
+            paused_until: Timestamp::default(),
             versions,
             loading_until: None,
         }
     }
 
-    /// Returns the version of a model that the server is believed to hold.
+    /// Returns the version of a model that the server is assumed to have loaded.
     pub fn version(&self, model: &str) -> Option<WeightVersion> {
         self.versions.get(model).copied()
     }
@@ -70,29 +70,29 @@
         self.entry.slots.max(1)
     }
 
-    pub(super) fn busy(&self, now: Timestamp, load_age: Duration) -> u32 {
-        let others = if now.since(self.load.at) < load_age { self.load.others } else { 0 };
-        self.in_flight + others
+    pub(super) fn requests(&self, now: Timestamp, max_load_age: Duration) -> u32 {
+        let other_requests = if now.since(self.load.reported_at) < max_load_age { self.load.other_requests } else { 0 };
+        self.in_flight + other_requests
     }
 }
 
-/// What was believed of a server when it was chosen, for the log.
+/// What was known of a server when it was chosen, for the log.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ChoiceBasis {
-    /// Requests of this node that it works on.
+pub struct ServerSnapshot {
+    /// Requests of this node in progress at the server.
     pub in_flight: u32,
-    /// Requests of others, as it stated.
-    pub others: u32,
-    /// Time since it stated its load, in milliseconds, if it ever did.
+    /// Requests of other nodes, as the server reported.
+    pub other_requests: u32,
+    /// Time since the server reported its load, in milliseconds, if it ever did.
     pub load_age_ms: Option<u64>,
-    /// How many times slower than its service's median it is.
+    /// Pace of the server relative to the median of its service; above 1 is slower.
     pub slowness: f64,
-    /// How many times longer than usual a call is expected to take, without what runs and waits there.
-    pub expected: f64,
-    /// Its standing.
-    pub standing: ServerStanding,
-    /// The node on whose word this rests; `None` where it rests on this node's own calls.
-    pub told_by: Option<Name>,
-    /// Version of the model asked for; 0 where none is known or asked for.
-    pub weights: WeightVersion,
+    /// Expected slowness of one call, relative to the median latency of its route and without queueing.
+    pub expected_slowness: f64,
+    /// Its health.
+    pub health: ServerHealth,
+    /// The node whose observation was used; `None` if this node's own measurements were.
+    pub reported_by: Option<Name>,
+    /// Loaded version of the requested model; 0 if none was requested or it is unknown.
+    pub weight_version: WeightVersion,
 }
--- a/crates/trestlerack/src/process/server_status.rs
+++ b/crates/trestlerack/src/process/server_status.rs
@@ -1,62 +1,62 @@
-//! What operators see of backend servers: their standing as this node and as its peers see them.
+//! Status of backend servers for operators: their health as this node and its peers see it.
 
-use super::load_balancer::ServerBoard;
-use super::server_health::{ServerFigures, ServerStanding};
-use super::server_state::ServerBelief;
+use super::load_balancer::LoadBalancer;
+use super::server_health::{ServerHealth, ServerStats};
+use super::server_state::ServerState;
 use crate::time::millis;
 use crate::{Name, Timestamp};
 
-/// What is known of one backend server.
+/// Status of one backend server.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ServerLine {
+pub struct ServerStatus {
     /// Instance.
     pub instance: Name,
     /// Service.
     pub service: Name,
-    /// Standing at this node.
-    pub standing: ServerStanding,
-    /// How many times longer than usual a call is expected to take, without what runs and waits there.
-    pub expected: f64,
-    /// Requests that this node has sent there since it started.
+    /// Health at this node.
+    pub health: ServerHealth,
+    /// Expected slowness of one call, relative to the median latency of its route and without queueing.
+    pub expected_slowness: f64,
+    /// Requests that this node has sent to the server since the node started.
     pub sent: u64,
-    /// What this node's own calls showed.
-    pub own: ServerFigures,
-    /// What peers told last, while it is believed.
-    pub told: Option<ToldLine>,
+    /// What this node measured itself.
+    pub measured: ServerStats,
+    /// The last observation received from peers, until it expires.
+    pub received: Option<PeerObservation>,
 }
 
-/// What peers told of a server.
+/// A peer's observation of a server.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ToldLine {
-    /// The node that saw it.
+pub struct PeerObservation {
+    /// The node that made the observation.
     pub origin: Name,
-    /// What it saw.
-    pub figures: ServerFigures,
-    /// Time since it saw this, in milliseconds.
+    /// What it observed.
+    pub stats: ServerStats,
+    /// Time since the observation, in milliseconds.
     pub age_ms: u64,
 }
 
-impl ServerBoard {
-    /// Returns what is known of the servers that are compared with their peers, by name.
-    pub fn server_lines(&self, now: Timestamp) -> Vec<ServerLine> {
-        let compared = self.servers.values().filter(|belief| self.compares_servers(&belief.entry.service));
-        compared.map(|belief| self.server_line(now, belief)).collect()
+impl LoadBalancer {
+    /// Returns the status of all servers that are compared with their peers, ordered by instance.
+    pub fn server_statuses(&self, now: Timestamp) -> Vec<ServerStatus> {
+        let compared = self.servers.values().filter(|server| self.compares_servers(&server.entry.service));
+        compared.map(|server| self.server_status(now, server)).collect()
     }
 
-    fn server_line(&self, now: Timestamp, belief: &ServerBelief) -> ServerLine {
-        let told = belief.last_word(now).map(|told| ToldLine {
-            origin: told.origin.clone(),
-            figures: told.figures,
-            age_ms: millis(now.since(told.at)),
+    fn server_status(&self, now: Timestamp, server: &ServerState) -> ServerStatus {
+        let received = server.received_observation(now).map(|received| PeerObservation {
+            origin: received.origin.clone(),
+            stats: received.stats,
+            age_ms: millis(now.since(received.observed_at)),
         });
-        ServerLine {
-            instance: belief.entry.instance.clone(),
-            service: belief.entry.service.clone(),
-            standing: self.standing(now, &belief.entry.instance),
-            expected: self.expected_slowness(now, belief),
-            sent: belief.sent,
-            own: belief.learnt.figures(now),
-            told,
+        ServerStatus {
+            instance: server.entry.instance.clone(),
+            service: server.entry.service.clone(),
+            health: self.health(now, &server.entry.instance),
+            expected_slowness: self.expected_slowness(now, server),
+            sent: server.sent,
+            measured: server.measured.stats(now),
+            received,
         }
     }
 }
--- a/crates/trestlerack/src/process/wait_estimate.rs
+++ b/crates/trestlerack/src/process/wait_estimate.rs
@@ -1,7 +1,7 @@
 //! How long a service is expected to take for one more call.
 
-use super::load_balancer::ServerBoard;
-use super::server_state::ServerBelief;
+use super::load_balancer::LoadBalancer;
+use super::server_state::ServerState;
 use crate::Timestamp;
 use std::time::Duration;
 
@@ -24,24 +24,27 @@
     pub age: Option<Duration>,
 }
 
-impl ServerBoard {
+impl LoadBalancer {
     /// Returns what is expected of a service for one more call. Servers that are paused, draining or
     /// loading count for nothing.
     pub fn wait_estimate(&self, now: Timestamp, service: &str) -> WaitEstimate {
-        let is_open = |belief: &&ServerBelief| !belief.entry.is_draining && belief.not_before <= now;
-        let open: Vec<&ServerBelief> = self.of_service(service).filter(is_open).collect();
-        let busy = |belief: &ServerBelief| belief.busy(now, self.settings.load_age);
-        let places = open.iter().map(|belief| belief.slots()).sum();
-        let free = open.iter().map(|belief| belief.slots().saturating_sub(busy(belief))).sum();
-        let waiting: u32 = open.iter().map(|belief| busy(belief).saturating_sub(belief.slots())).sum();
-        let work = self.answer_times.median(service).unwrap_or_default();
+        let is_open = |server: &&ServerState| !server.entry.is_draining && server.paused_until <= now;
+        let open: Vec<&ServerState> = self.of_service(service).filter(is_open).collect();
+        let busy = |server: &ServerState| server.requests(now, self.settings.max_load_age);
+        let places = open.iter().map(|server| server.slots()).sum();
+        let free = open.iter().map(|server| server.slots().saturating_sub(busy(server))).sum();
+        let waiting: u32 = open.iter().map(|server| busy(server).saturating_sub(server.slots())).sum();
+        let work = self.service_latencies.median(service).unwrap_or_default();
         let wait = match (free, places) {
             (1.., _) => Duration::ZERO,
             (0, 0) => Duration::MAX,
             // Places become free one after the other, evenly.
             (0, places) => work.mul_f64(f64::from(waiting + 1) / f64::from(places)),
         };
-        let ages = open.iter().map(|belief| now.since(belief.load.at)).filter(|age| *age < self.settings.load_age);
+        let ages = open
+            .iter()
+            .map(|server| now.since(server.load.reported_at))
+            .filter(|age| *age < self.settings.max_load_age);
         WaitEstimate { wait, work, places, free, age: ages.min() }
     }
 }
--- a/crates/trestlerack/src/request/dispatcher.rs
+++ b/crates/trestlerack/src/request/dispatcher.rs
@@ -351,7 +351,7 @@
             self.observe(&running.engine, observed);
         }
         let engines = self.engines.len();
-        let ejected = self.outliers.record(now, &running.engine, good, engines);
+        let ejected = self.outliers.record_response(now, &running.engine, good, engines);
         ejected.then_some(DispatchAction::Ejected { engine: running.engine })
     }
 
--- a/crates/trestlerack/src/version/routing.rs
+++ b/crates/trestlerack/src/version/routing.rs
@@ -2,7 +2,7 @@
 
 use crate::Name;
 use crate::hash::hash_parts;
-use crate::process::ScalingTerms;
+use crate::process::ScalingConfig;
 use crate::version::CustomerDirectory;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -95,7 +95,7 @@
     /// Models that the engines of the service hold.
     pub models: Vec<Name>,
     /// What may be ordered of its engines; `None` if nothing.
-    pub scaling: Option<ScalingTerms>,
+    pub scaling: Option<ScalingConfig>,
 }
 
 /// Limits on what clients send.
--- a/crates/trestlerack/tests/call_ranks.rs
+++ b/crates/trestlerack/tests/call_ranks.rs
@@ -3,7 +3,7 @@
 #[path = "support/load.rs"]
 mod load;
 
-use load::{board_of, plain_server, safe_route};
+use load::{balancer_of, plain_server, safe_route};
 use std::time::Duration;
 use trestlerack::Timestamp;
 use trestlerack::process::CallRank;
@@ -26,36 +26,36 @@
 #[test]
 fn a_service_is_expected_to_take_a_call_at_once_until_all_places_are_taken() {
     let now = Timestamp(1_000);
-    let mut board = board_of(&[plain_server("i-1", "s", "z", 2), plain_server("i-2", "s", "z", 2)]);
+    let mut balancer = balancer_of(&[plain_server("i-1", "s", "z", 2), plain_server("i-2", "s", "z", 2)]);
     for _ in 0..10 {
-        board.answered(&"s".into(), Duration::from_millis(40));
+        balancer.record_latency(&"s".into(), Duration::from_millis(40));
     }
-    let estimate = board.wait_estimate(now, "s");
+    let estimate = balancer.wait_estimate(now, "s");
     assert_eq!((estimate.wait, estimate.places, estimate.free), (Duration::ZERO, 4, 4));
     assert_eq!((estimate.work, estimate.age), (Duration::from_millis(40), None));
-    board.stated_load(now, "i-1", 2, 1);
-    board.stated_load(now, "i-2", 2, 0);
-    let full = board.wait_estimate(now, "s");
+    balancer.record_load(now, "i-1", 2, 1);
+    balancer.record_load(now, "i-2", 2, 0);
+    let full = balancer.wait_estimate(now, "s");
     assert_eq!((full.free, full.age), (0, Some(Duration::ZERO)));
     assert_eq!(full.wait, Duration::from_millis(20), "one waits already, and a place is free each 10 ms");
-    assert_eq!(board.wait_estimate(now, "none").wait, Duration::MAX, "no server will ever take it");
+    assert_eq!(balancer.wait_estimate(now, "none").wait, Duration::MAX, "no server will ever take it");
 }
 
 #[test]
 fn a_service_opens_when_the_first_pause_of_its_servers_ends() {
     let now = Timestamp(1_000);
-    let mut board = board_of(&["a", "b"].map(|name| plain_server(name, "s", "z", 4)));
-    assert_eq!(board.opens_at("none"), None);
-    let first_pause = board.failed(now, "a");
-    board.failed(now + Duration::from_millis(50), "b");
-    assert_eq!(board.opens_at("s"), Some(now + first_pause));
-    assert_eq!(board.wait_estimate(now + Duration::from_millis(50), "s").places, 0);
-    assert_eq!(board.wait_estimate(now + first_pause, "s").places, 4);
+    let mut balancer = balancer_of(&["a", "b"].map(|name| plain_server(name, "s", "z", 4)));
+    assert_eq!(balancer.available_at("none"), None);
+    let first_pause = balancer.failed(now, "a");
+    balancer.failed(now + Duration::from_millis(50), "b");
+    assert_eq!(balancer.available_at("s"), Some(now + first_pause));
+    assert_eq!(balancer.wait_estimate(now + Duration::from_millis(50), "s").places, 0);
+    assert_eq!(balancer.wait_estimate(now + first_pause, "s").places, 4);
 }
 
 #[test]
 fn a_server_that_is_emptied_opens_no_more() {
     let mut draining = plain_server("a", "s", "z", 4);
     draining.is_draining = true;
-    assert_eq!(board_of(&[draining]).opens_at("s"), None);
+    assert_eq!(balancer_of(&[draining]).available_at("s"), None);
 }
--- a/crates/trestlerack/tests/latency_estimates.rs
+++ b/crates/trestlerack/tests/latency_estimates.rs
@@ -1,45 +1,45 @@
-//! How long an answer may take before a second server is asked.
+//! The time after which a response counts as late.
 
 use std::time::Duration;
-use trestlerack::process::{AnswerTimes, BoardSettings, ServerBoard};
+use trestlerack::process::{BalancerSettings, LatencyEstimates, LoadBalancer};
 
-fn usual_after(answers_ms: &[u64]) -> Option<Duration> {
-    let mut board = ServerBoard::new(BoardSettings::default());
+fn late_threshold_after(answers_ms: &[u64]) -> Option<Duration> {
+    let mut balancer = LoadBalancer::new(BalancerSettings::default());
     let service = "scores".into();
-    answers_ms.iter().for_each(|ms| board.answered(&service, Duration::from_millis(*ms)));
-    board.usual_answer_time(&service)
+    answers_ms.iter().for_each(|ms| balancer.record_latency(&service, Duration::from_millis(*ms)));
+    balancer.late_threshold(&service)
 }
 
 #[test]
-fn nothing_is_usual_before_enough_answers_are_known() {
-    assert_eq!(usual_after(&[200; 7]), None);
-    assert!(usual_after(&[200; 8]).is_some());
+fn there_is_no_late_threshold_before_enough_samples() {
+    assert_eq!(late_threshold_after(&[200; 7]), None);
+    assert!(late_threshold_after(&[200; 8]).is_some());
 }
 
-/// The same services with work three times longer and shorter: what is late follows the work.
+/// The same service with processing times up to ten times longer and shorter: the threshold scales with them.
 #[test]
-fn what_is_late_follows_the_work_of_the_service() {
+fn the_late_threshold_scales_with_the_latency_of_the_service() {
     let work = [120, 160, 190, 240, 310, 170, 150, 420, 200, 230];
     for factor in [0.1, 1.0 / 3.0, 1.0, 3.0, 10.0] {
         let answers: Vec<u64> = work.iter().cycle().take(40).map(|ms| (f64::from(*ms) * factor) as u64).collect();
-        let usual = usual_after(&answers).unwrap().as_secs_f64() * 1_000.0 / factor;
-        assert!((420.0..1_000.0).contains(&usual), "{usual} ms at {factor}");
+        let threshold = late_threshold_after(&answers).unwrap().as_secs_f64() * 1_000.0 / factor;
+        assert!((420.0..1_000.0).contains(&threshold), "{threshold} ms at {factor}");
     }
 }
 
 #[test]
-fn answers_that_hardly_differ_leave_room_for_a_longer_one() {
-    assert!(usual_after(&[30; 100]).unwrap() >= Duration::from_millis(59));
+fn nearly_constant_latencies_leave_a_margin() {
+    assert!(late_threshold_after(&[30; 100]).unwrap() >= Duration::from_millis(59));
 }
 
-/// Routes come and go with configurations, and those that are in use are learnt anew at once.
+/// Routes come and go with configurations; those in use are estimated again within a few responses.
 #[test]
-fn estimates_of_names_that_are_gone_do_not_pile_up() {
-    let mut times = AnswerTimes::default();
+fn estimates_of_removed_routes_do_not_accumulate() {
+    let mut estimates = LatencyEstimates::default();
     for number in 0..5_000 {
-        (0..8).for_each(|_| times.record(&format!("route-{number}").into(), Duration::from_millis(30)));
+        (0..8).for_each(|_| estimates.record(&format!("route-{number}").into(), Duration::from_millis(30)));
     }
-    let kept = (0..5_000).filter(|number| times.usual(&format!("route-{number}")).is_some()).count();
-    assert!(kept <= 1_024, "{kept} names are kept");
-    assert!(times.usual("route-4999").is_some());
+    let known = (0..5_000).filter(|number| estimates.late_threshold(&format!("route-{number}")).is_some()).count();
+    assert!(known <= 1_024, "{known} names are known");
+    assert!(estimates.late_threshold("route-4999").is_some());
 }
--- a/crates/trestlerack/tests/levels.rs
+++ b/crates/trestlerack/tests/levels.rs
@@ -109,7 +109,7 @@
         let counts = ServerCounts::of(servers.iter());
         for number in 0..20 {
             let own = node(number);
-            let used = servers.iter().filter(|entry| counts.is_in_part(&own.name, &own.zone, entry));
+            let used = servers.iter().filter(|entry| counts.is_in_subset(&own.name, &own.zone, entry));
             let mut by_service: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
             for entry in used {
                 let (near, far) = by_service.entry(&entry.service).or_default();
@@ -130,14 +130,14 @@
 fn parts_are_redrawn_only_when_numbers_have_changed_much() {
     let mut counts = ServerCounts::default();
     let of = |count: usize| ServerCounts::of((0..count).map(server).collect::<Vec<_>>().iter());
-    assert!(counts.redraw(of(10_000)));
-    assert!(!counts.redraw(of(9_000)) && !counts.redraw(of(12_000)));
-    assert!(counts.redraw(of(25_000)));
+    assert!(counts.replace_if_changed(of(10_000)));
+    assert!(!counts.replace_if_changed(of(9_000)) && !counts.replace_if_changed(of(12_000)));
+    assert!(counts.replace_if_changed(of(25_000)));
     // From one server to twenty thousand at a start.
     let mut draws = 0;
     let mut counts = ServerCounts::default();
     for count in (0..20_000).step_by(50) {
-        draws += usize::from(counts.redraw(of(count)));
+        draws += usize::from(counts.replace_if_changed(of(count)));
     }
     assert!(draws <= 16, "{draws} draws");
 }
--- a/crates/trestlerack/tests/limits.rs
+++ b/crates/trestlerack/tests/limits.rs
@@ -75,14 +75,14 @@
         for step in 0..400 {
             let now = Timestamp(step * 50);
             let name = &names[random.random_range(0..names.len())];
-            detector.record(now, name, random.random_ratio(1, 3), names.len());
+            detector.record_response(now, name, random.random_ratio(1, 3), names.len());
             let ejected = names.iter().filter(|name| detector.limit(now, name, 8) == 0).count();
             assert!(ejected <= 3, "half of them always serve");
         }
     });
     let mut detector = OutlierDetector::new(OutlierSettings::default());
     for _ in 0..3 {
-        detector.record(Timestamp(0), &"b".into(), false, 4);
+        detector.record_response(Timestamp(0), &"b".into(), false, 4);
     }
     let limits: Vec<u32> =
         [0, 4_999, 5_000, 7_000, 9_000, 20_000].map(|at| detector.limit(Timestamp(at), "b", 8)).to_vec();
--- a/crates/trestlerack/tests/server_health.rs
+++ b/crates/trestlerack/tests/server_health.rs
@@ -1,4 +1,4 @@
-//! Servers whose answers are slow or fail against those of their peers are set aside and come back.
+//! Servers that are slower or fail more often than their peers are degraded and recover.
 
 #[path = "support/load.rs"]
 mod load;
@@ -6,212 +6,218 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
-use trestlerack::process::{ServerBoard, ServerNeed, ServerRoom, ServerStanding};
+use trestlerack::process::{LoadBalancer, ServerHealth, ServerNeed, SlotNeed};
 use trestlerack::{Name, Timestamp};
 
-/// A node in front of servers that answer as a closure says.
-struct PlayedNode {
-    board: ServerBoard,
+/// A node with servers whose responses are given by a closure.
+struct SimulatedNode {
+    balancer: LoadBalancer,
     servers: usize,
-    kind: Name,
+    route: Name,
 }
 
-/// How a server answers a call.
-enum Played {
+/// The response of a server to a call.
+enum SimulatedResponse {
     Took(u64),
     Failed,
 }
 
-impl PlayedNode {
+impl SimulatedNode {
     fn new(servers: usize) -> Self {
         let names: Vec<String> = (0..servers).map(|number| format!("i-{number}")).collect();
         let entries: Vec<_> = names.iter().map(|name| load::plain_server(name, "s", "z", 6)).collect();
-        let mut board = load::board_of(&entries);
+        let mut balancer = load::balancer_of(&entries);
         names.iter().for_each(|name| {
-            board.stated_slowness(Timestamp(0), name, 100);
+            balancer.record_reported_slowness(Timestamp(0), name, 100);
         });
-        Self { board, servers, kind: "r".into() }
+        Self { balancer, servers, route: "r".into() }
     }
 
-    fn answered(&mut self, at_ms: u64, server: usize, played: &Played) {
+    fn record(&mut self, at_ms: u64, server: usize, response: &SimulatedResponse) {
         let (now, name) = (Timestamp(at_ms), format!("i-{server}"));
-        match played {
-            Played::Took(ms) => self.board.answer_took(now, &name, &self.kind, Duration::from_millis(*ms)),
-            Played::Failed => self.board.answer_failed(now, &name),
+        match response {
+            SimulatedResponse::Took(ms) => {
+                self.balancer.record_response(now, &name, &self.route, Duration::from_millis(*ms))
+            }
+            SimulatedResponse::Failed => self.balancer.record_failed_response(now, &name),
         }
     }
 
-    fn standing(&self, at_ms: u64, server: usize) -> ServerStanding {
-        self.board.standing(Timestamp(at_ms), &format!("i-{server}"))
+    fn health(&self, at_ms: u64, server: usize) -> ServerHealth {
+        self.balancer.health(Timestamp(at_ms), &format!("i-{server}"))
     }
 
-    fn aside(&self, at_ms: u64) -> Vec<usize> {
-        (0..self.servers).filter(|server| self.standing(at_ms, *server) != ServerStanding::Well).collect()
+    fn degraded(&self, at_ms: u64) -> Vec<usize> {
+        (0..self.servers).filter(|server| self.health(at_ms, *server) != ServerHealth::Healthy).collect()
     }
 
-    /// Plays a call each 10 ms that goes where the node chooses, and returns the share of each server.
-    fn play(&mut self, from_ms: u64, for_ms: u64, mut answer: impl FnMut(u64, usize) -> Played) -> Vec<f64> {
+    /// Sends a call every 10 ms to the server that the node chooses, and returns the share of each server.
+    fn run(&mut self, from_ms: u64, for_ms: u64, mut answer: impl FnMut(u64, usize) -> SimulatedResponse) -> Vec<f64> {
         let mut counts = vec![0.0; self.servers];
-        let mut open: Vec<(u64, usize, Played)> = Vec::new();
+        let mut open: Vec<(u64, usize, SimulatedResponse)> = Vec::new();
         let calls = for_ms / 10;
         for number in 0..calls {
             let now = from_ms + number * 10;
             while let Some(at) = open.iter().position(|(end, ..)| *end <= now) {
-                let (end, server, played) = open.swap_remove(at);
-                self.board.ended(&format!("i-{server}"));
-                self.answered(end, server, &played);
+                let (end, server, response) = open.swap_remove(at);
+                self.balancer.ended(&format!("i-{server}"));
+                self.record(end, server, &response);
             }
             let need =
                 ServerNeed { service: "s", zone: "z", tie_key: "n", is_repeatable: true, ..ServerNeed::default() };
-            let chosen = self.board.choose(Timestamp(now), &need).unwrap().entry.instance.clone();
+            let chosen = self.balancer.choose(Timestamp(now), &need).unwrap().entry.instance.clone();
             let server: usize = chosen[2..].parse().unwrap();
-            self.board.started(&chosen);
-            self.board.stated_load(Timestamp(now), &chosen, 1, 0);
+            self.balancer.started(&chosen);
+            self.balancer.record_load(Timestamp(now), &chosen, 1, 0);
             counts[server] += 1.0 / calls as f64;
-            let played = answer(now, server);
-            let took = if let Played::Took(ms) = played { ms } else { 20 };
-            open.push((now + took, server, played));
+            let response = answer(now, server);
+            let took = if let SimulatedResponse::Took(ms) = response { ms } else { 20 };
+            open.push((now + took, server, response));
         }
         counts
     }
 }
 
-/// Work of a call, which differs by itself.
-fn work(random: &mut StdRng) -> u64 {
+/// Processing time of a call, which varies.
+fn work_ms(random: &mut StdRng) -> u64 {
     random.random_range(35..65)
 }
 
 #[test]
-fn a_server_that_fails_part_of_its_requests_gets_a_trickle() {
-    let (mut node, mut random) = (PlayedNode::new(5), StdRng::seed_from_u64(1));
-    node.play(1_000, 2_000, |_, _| Played::Took(work(&mut random)));
-    assert!(node.aside(3_000).is_empty());
+fn a_server_that_fails_half_of_its_requests_gets_few_calls() {
+    let (mut node, mut random) = (SimulatedNode::new(5), StdRng::seed_from_u64(1));
+    node.run(1_000, 2_000, |_, _| SimulatedResponse::Took(work_ms(&mut random)));
+    assert!(node.degraded(3_000).is_empty());
     let mut count = 0;
-    let shares = node.play(3_000, 6_000, |_, server| {
+    let shares = node.run(3_000, 6_000, |_, server| {
         count += usize::from(server == 1);
-        if server == 1 && count % 2 == 0 { Played::Failed } else { Played::Took(work(&mut random)) }
+        if server == 1 && count % 2 == 0 {
+            SimulatedResponse::Failed
+        } else {
+            SimulatedResponse::Took(work_ms(&mut random))
+        }
     });
-    assert!(shares[1] < 0.05, "the grey server got {shares:?}");
+    assert!(shares[1] < 0.05, "the failing server got {shares:?}");
 }
 
 #[test]
-fn a_server_that_looks_healthy_and_fails_all_is_set_aside_at_once() {
-    let mut node = PlayedNode::new(5);
-    (0..20).for_each(|step| node.answered(1_000 + step, step as usize % 5, &Played::Took(50)));
-    (0..3).for_each(|step| node.answered(1_100 + step, 4, &Played::Failed));
-    assert_eq!(node.standing(1_110, 4), ServerStanding::Trickle);
+fn a_server_that_fails_all_calls_is_degraded_at_once() {
+    let mut node = SimulatedNode::new(5);
+    (0..20).for_each(|step| node.record(1_000 + step, step as usize % 5, &SimulatedResponse::Took(50)));
+    (0..3).for_each(|step| node.record(1_100 + step, 4, &SimulatedResponse::Failed));
+    assert_eq!(node.health(1_110, 4), ServerHealth::Degraded);
 }
 
 #[test]
-fn a_server_that_flaps_stays_aside_meanwhile_and_returns_in_steps() {
-    let (mut node, mut random) = (PlayedNode::new(5), StdRng::seed_from_u64(2));
-    node.play(1_000, 1_000, |_, _| Played::Took(work(&mut random)));
-    let shares = node.play(2_000, 6_000, |now, server| {
+fn a_flapping_server_gets_few_calls_and_recovers_afterwards() {
+    let (mut node, mut random) = (SimulatedNode::new(5), StdRng::seed_from_u64(2));
+    node.run(1_000, 1_000, |_, _| SimulatedResponse::Took(work_ms(&mut random)));
+    let shares = node.run(2_000, 6_000, |now, server| {
         let is_down = server == 2 && (now / 300) % 2 == 0;
-        if is_down { Played::Failed } else { Played::Took(work(&mut random)) }
+        if is_down { SimulatedResponse::Failed } else { SimulatedResponse::Took(work_ms(&mut random)) }
     });
     assert!(shares[2] < 0.1, "the flapping server got {shares:?}");
-    node.play(8_000, 10_000, |_, _| Played::Took(work(&mut random)));
-    assert_eq!(node.standing(18_000, 2), ServerStanding::Well);
-    let shares = node.play(18_000, 2_000, |_, _| Played::Took(work(&mut random)));
+    node.run(8_000, 10_000, |_, _| SimulatedResponse::Took(work_ms(&mut random)));
+    assert_eq!(node.health(18_000, 2), ServerHealth::Healthy);
+    let shares = node.run(18_000, 2_000, |_, _| SimulatedResponse::Took(work_ms(&mut random)));
     assert!(shares[2] > 0.1, "it is used again: {shares:?}");
 }
 
 #[test]
-fn a_set_aside_server_returns_by_one_two_and_four_calls() {
-    let mut node = PlayedNode::new(5);
-    (0..25).for_each(|step| node.answered(1_000 + step, step as usize % 5, &Played::Took(50)));
-    (0..4).for_each(|step| node.answered(1_100 + step, 0, &Played::Took(300)));
-    assert_eq!(node.standing(1_110, 0), ServerStanding::Trickle);
+fn a_degraded_server_recovers_with_one_two_and_four_concurrent_calls() {
+    let mut node = SimulatedNode::new(5);
+    (0..25).for_each(|step| node.record(1_000 + step, step as usize % 5, &SimulatedResponse::Took(50)));
+    (0..4).for_each(|step| node.record(1_100 + step, 0, &SimulatedResponse::Took(300)));
+    assert_eq!(node.health(1_110, 0), ServerHealth::Degraded);
     let mut seen = Vec::new();
     for step in 0..60 {
-        node.answered(1_200 + step * 50, 0, &Played::Took(50));
-        let standing = node.standing(1_200 + step * 50, 0);
-        if seen.last() != Some(&standing) {
-            seen.push(standing);
+        node.record(1_200 + step * 50, 0, &SimulatedResponse::Took(50));
+        let health = node.health(1_200 + step * 50, 0);
+        if seen.last() != Some(&health) {
+            seen.push(health);
         }
     }
-    let returning = ServerStanding::Returning;
-    assert_eq!(seen, [ServerStanding::Trickle, returning(1), returning(2), returning(4), ServerStanding::Well]);
+    let recovering = ServerHealth::Recovering;
+    assert_eq!(seen, [ServerHealth::Degraded, recovering(1), recovering(2), recovering(4), ServerHealth::Healthy]);
 }
 
-/// Neighbours slow 15 in 100 servers by 2.5 for 300 ms of each 600 ms; that passes, so no server is to be
-/// set aside for it.
+/// Noisy neighbours slow 15 in 100 servers by 2.5 for 300 ms of every 600 ms. This passes, so no server may be
+/// degraded for it.
 #[test]
-fn servers_with_noisy_neighbours_are_no_outliers() {
+fn servers_with_noisy_neighbours_are_not_degraded() {
     for seed in 0..5 {
         for pause in [10, 40] {
-            let (mut node, mut random) = (PlayedNode::new(13), StdRng::seed_from_u64(seed));
+            let (mut node, mut random) = (SimulatedNode::new(13), StdRng::seed_from_u64(seed));
             for step in 0..2_000 {
                 let now = 1_000 + step * pause;
                 let server = random.random_range(0..13);
                 let is_noisy = server < 2 && (now + 100 * server as u64) % 600 < 300;
-                let took = work(&mut random) as f64 * if is_noisy { 2.5 } else { 1.0 };
-                node.answered(now, server, &Played::Took(took as u64));
-                assert_eq!(node.aside(now), Vec::<usize>::new(), "seed {seed}, each {pause} ms, at {now}");
+                let took = work_ms(&mut random) as f64 * if is_noisy { 2.5 } else { 1.0 };
+                node.record(now, server, &SimulatedResponse::Took(took as u64));
+                assert_eq!(node.degraded(now), Vec::<usize>::new(), "seed {seed}, each {pause} ms, at {now}");
             }
         }
     }
 }
 
 #[test]
-fn a_server_that_starts_slowly_gets_less_and_comes_back() {
-    let (mut node, mut random) = (PlayedNode::new(5), StdRng::seed_from_u64(3));
-    node.play(1_000, 1_000, |_, _| Played::Took(work(&mut random)));
-    let shares = node.play(2_000, 2_000, |_, server| {
+fn a_server_that_starts_slowly_gets_few_calls_until_it_recovers() {
+    let (mut node, mut random) = (SimulatedNode::new(5), StdRng::seed_from_u64(3));
+    node.run(1_000, 1_000, |_, _| SimulatedResponse::Took(work_ms(&mut random)));
+    let shares = node.run(2_000, 2_000, |_, server| {
         let factor = if server == 3 { 4 } else { 1 };
-        Played::Took(work(&mut random) * factor)
+        SimulatedResponse::Took(work_ms(&mut random) * factor)
     });
     assert!(shares[3] < 0.1, "while it is slow: {shares:?}");
-    node.play(4_000, 6_000, |_, _| Played::Took(work(&mut random)));
-    assert_eq!(node.standing(10_000, 3), ServerStanding::Well);
+    node.run(4_000, 6_000, |_, _| SimulatedResponse::Took(work_ms(&mut random)));
+    assert_eq!(node.health(10_000, 3), ServerHealth::Healthy);
 }
 
 #[test]
-fn none_is_an_outlier_where_all_are_slow_alike() {
-    let (mut node, mut random) = (PlayedNode::new(5), StdRng::seed_from_u64(4));
-    node.play(1_000, 2_000, |_, _| Played::Took(work(&mut random)));
+fn no_server_is_degraded_while_all_are_equally_slow() {
+    let (mut node, mut random) = (SimulatedNode::new(5), StdRng::seed_from_u64(4));
+    node.run(1_000, 2_000, |_, _| SimulatedResponse::Took(work_ms(&mut random)));
     for step in 0..400 {
         let now = 3_000 + step * 10;
-        node.answered(now, step as usize % 5, &Played::Took(6 * work(&mut random)));
+        node.record(now, step as usize % 5, &SimulatedResponse::Took(6 * work_ms(&mut random)));
         if step >= 10 {
-            assert!(node.aside(now).is_empty(), "{:?} at {now}", node.aside(now));
+            assert!(node.degraded(now).is_empty(), "{:?} at {now}", node.degraded(now));
         }
     }
 }
 
-/// Two servers are slow and three others fail, so that all five are worse than the middle one.
+/// Two servers are slow and three others fail, so that five of six are worse than the best one.
 #[test]
-fn at_least_half_of_a_service_stays() {
-    let mut node = PlayedNode::new(6);
-    (0..60).for_each(|step| node.answered(1_000 + step, step as usize % 6, &Played::Took(50)));
+fn at_least_half_of_a_service_stays_healthy() {
+    let mut node = SimulatedNode::new(6);
+    (0..60).for_each(|step| node.record(1_000 + step, step as usize % 6, &SimulatedResponse::Took(50)));
     let mut most = 0;
     for step in 0..200 {
         let server = step as usize % 6;
-        let played = match server {
-            0 => Played::Took(50),
-            1 | 2 => Played::Took(400),
-            _ => Played::Failed,
+        let response = match server {
+            0 => SimulatedResponse::Took(50),
+            1 | 2 => SimulatedResponse::Took(400),
+            _ => SimulatedResponse::Failed,
         };
-        node.answered(1_100 + step * 5, server, &played);
-        most = most.max(node.aside(1_100 + step * 5).len());
+        node.record(1_100 + step * 5, server, &response);
+        most = most.max(node.degraded(1_100 + step * 5).len());
     }
     assert_eq!(most, 3);
 }
 
-/// Work that can wait does not fill a server that is set aside as soon as the others are full.
+/// Requests that can wait must not fill a degraded server as soon as the others are full.
 #[test]
-fn who_asks_for_a_free_place_waits_for_one_at_a_server_that_is_well() {
-    let mut node = PlayedNode::new(3);
-    (0..30).for_each(|step| node.answered(1_000 + step, step as usize % 3, &Played::Took(50)));
-    (0..4).for_each(|step| node.answered(1_100 + step, 0, &Played::Took(400)));
-    assert_eq!(node.standing(1_110, 0), ServerStanding::Trickle);
-    (0..12).for_each(|call| node.board.started(["i-1", "i-2"][call % 2]));
-    let need = ServerNeed { service: "s", zone: "z", tie_key: "n", room: ServerRoom::Place, ..ServerNeed::default() };
-    assert!(node.board.choose(Timestamp(1_110), &need).is_none());
-    let need = ServerNeed { room: ServerRoom::Any, ..need };
-    assert_ne!(&*node.board.choose(Timestamp(1_110), &need).unwrap().entry.instance, "i-0");
-    node.board.ended("i-1");
-    let need = ServerNeed { room: ServerRoom::Place, ..need };
-    assert_eq!(&*node.board.choose(Timestamp(1_110), &need).unwrap().entry.instance, "i-1");
+fn a_call_that_needs_a_free_slot_waits_for_a_healthy_server() {
+    let mut node = SimulatedNode::new(3);
+    (0..30).for_each(|step| node.record(1_000 + step, step as usize % 3, &SimulatedResponse::Took(50)));
+    (0..4).for_each(|step| node.record(1_100 + step, 0, &SimulatedResponse::Took(400)));
+    assert_eq!(node.health(1_110, 0), ServerHealth::Degraded);
+    (0..12).for_each(|call| node.balancer.started(["i-1", "i-2"][call % 2]));
+    let need = ServerNeed { service: "s", zone: "z", tie_key: "n", slot_need: SlotNeed::One, ..ServerNeed::default() };
+    assert!(node.balancer.choose(Timestamp(1_110), &need).is_none());
+    let need = ServerNeed { slot_need: SlotNeed::Any, ..need };
+    assert_ne!(&*node.balancer.choose(Timestamp(1_110), &need).unwrap().entry.instance, "i-0");
+    node.balancer.ended("i-1");
+    let need = ServerNeed { slot_need: SlotNeed::One, ..need };
+    assert_eq!(&*node.balancer.choose(Timestamp(1_110), &need).unwrap().entry.instance, "i-1");
 }
--- a/crates/trestlerack/tests/store_rates.rs
+++ b/crates/trestlerack/tests/store_rates.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use trestlerack::Timestamp;
 use trestlerack::border::StoreError;
-use trestlerack::process::{DirectWay, NODE_PARTITIONS, WayChange, node_partition, rate_pause};
+use trestlerack::process::{AccessChange, DirectAccess, NODE_PARTITIONS, node_partition, rate_pause};
 
 /// Transactions that a partition takes a second; one second of them may wait.
 const PARTITION_RATE: usize = 150;
@@ -107,47 +107,47 @@
 
 const NOW: Timestamp = Timestamp(1_000_000);
 
-fn refused(way: &mut DirectWay, times: u64, apart_ms: u64) -> Vec<Option<WayChange>> {
+fn refused(way: &mut DirectAccess, times: u64, apart_ms: u64) -> Vec<Option<AccessChange>> {
     let note = |call| {
         let now = NOW + Duration::from_millis(call * apart_ms);
-        way.note(now, now, Some(StoreError::RateLimited))
+        way.record_result(now, now, Some(StoreError::RateLimited))
     };
     (0..times).map(note).collect()
 }
 
 #[test]
 fn refusals_for_a_rate_among_answers_never_put_the_way_in_doubt() {
-    let mut way = DirectWay::default();
+    let mut way = DirectAccess::default();
     for call in 0..1_000 {
         let answered = call % 4 == 3;
         let failure = (!answered).then_some(StoreError::RateLimited);
         let now = NOW + Duration::from_millis(call * 200);
-        assert_eq!(way.note(now, now, failure), None);
+        assert_eq!(way.record_result(now, now, failure), None);
     }
-    assert!(!way.is_doubtful());
+    assert!(!way.prefers_peers());
 }
 
 #[test]
 fn a_burst_of_refusals_is_one_sign_and_no_outage() {
-    let mut way = DirectWay::default();
+    let mut way = DirectAccess::default();
     assert!(refused(&mut way, 100, 1).iter().all(Option::is_none));
 }
 
 /// Every call of this node is refused for a while, which no rate of the store does.
 #[test]
 fn a_node_whose_every_call_is_refused_goes_through_peers_until_a_call_is_answered() {
-    let mut way = DirectWay::default();
+    let mut way = DirectAccess::default();
     let changes = refused(&mut way, 8, 150);
-    assert_eq!(changes.iter().flatten().collect::<Vec<_>>(), [&WayChange::Lost]);
-    assert!(way.is_doubtful());
-    assert_eq!(way.note(NOW, NOW + Duration::from_secs(9), None), Some(WayChange::Regained));
-    assert!(!way.is_doubtful());
+    assert_eq!(changes.iter().flatten().collect::<Vec<_>>(), [&AccessChange::Lost]);
+    assert!(way.prefers_peers());
+    assert_eq!(way.record_result(NOW, NOW + Duration::from_secs(9), None), Some(AccessChange::Regained));
+    assert!(!way.prefers_peers());
 }
 
 #[test]
 fn an_outage_puts_the_way_in_doubt_at_once() {
     for error in [StoreError::Unavailable, StoreError::Unknown] {
-        assert_eq!(DirectWay::default().note(NOW, NOW, Some(error)), Some(WayChange::Lost));
+        assert_eq!(DirectAccess::default().record_result(NOW, NOW, Some(error)), Some(AccessChange::Lost));
     }
 }
 
@@ -156,10 +156,10 @@
 #[test]
 fn a_late_partition_is_not_a_lost_store() {
     let at = |ms| NOW + Duration::from_millis(ms);
-    let mut way = DirectWay::default();
-    assert_eq!(way.note(at(500), at(504), None), None);
-    assert_eq!(way.note(at(0), at(600), Some(StoreError::Unknown)), None);
-    assert!(!way.is_doubtful());
-    assert_eq!(way.note(at(505), at(1_105), Some(StoreError::Unknown)), Some(WayChange::Lost));
-    assert_eq!(way.note(at(1_200), at(1_204), None), Some(WayChange::Regained));
+    let mut way = DirectAccess::default();
+    assert_eq!(way.record_result(at(500), at(504), None), None);
+    assert_eq!(way.record_result(at(0), at(600), Some(StoreError::Unknown)), None);
+    assert!(!way.prefers_peers());
+    assert_eq!(way.record_result(at(505), at(1_105), Some(StoreError::Unknown)), Some(AccessChange::Lost));
+    assert_eq!(way.record_result(at(1_200), at(1_204), None), Some(AccessChange::Regained));
 }
--- a/crates/trestlerack/tests/support/load.rs
+++ b/crates/trestlerack/tests/support/load.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
-use trestlerack::process::{BoardSettings, RegistrySettings, ServerBoard, ServerEntry, ServerRegistry};
+use trestlerack::process::{BalancerSettings, LoadBalancer, RegistrySettings, ServerEntry, ServerRegistry};
 use trestlerack::version::{RequestRoute, RouteKind, SplitShare};
 
 /// Returns a server of a plain service.
@@ -20,13 +20,13 @@
     }
 }
 
-/// Returns a board that knows these servers and nothing of them.
-pub fn board_of(entries: &[ServerEntry]) -> ServerBoard {
+/// Returns a load balancer that knows these servers and has no measurements of them.
+pub fn balancer_of(entries: &[ServerEntry]) -> LoadBalancer {
     let mut registry = ServerRegistry::new(RegistrySettings::default());
     entries.iter().for_each(|entry| assert!(registry.put(entry.clone())));
-    let mut board = ServerBoard::new(BoardSettings::default());
-    board.sync(&registry);
-    board
+    let mut balancer = LoadBalancer::new(BalancerSettings::default());
+    balancer.sync(&registry);
+    balancer
 }
 
 /// Returns a repeatable route to the service `s`.
--- a/crates/trestlerack/tests/suspensions.rs
+++ b/crates/trestlerack/tests/suspensions.rs
@@ -32,14 +32,14 @@
 #[test]
 fn a_suspension_leaves_the_pace_of_an_engine_as_it_was() {
     let mut pace = EventPace::default();
-    assert_eq!(pace.arrived(ms(1_000), ms(1_000), 1), None, "the first event waits for the prompt");
-    assert_eq!(pace.arrived(ms(1_040), ms(1_040), 1), Some(PaceSample { gap: ms(40), pace: ms(40) }));
-    assert_eq!(pace.arrived(ms(1_120), ms(1_120), 2), Some(PaceSample { gap: ms(80), pace: ms(40) }));
+    assert_eq!(pace.record_arrival(ms(1_000), ms(1_000), 1), None, "the first event waits for the prompt");
+    assert_eq!(pace.record_arrival(ms(1_040), ms(1_040), 1), Some(PaceSample { gap: ms(40), pace: ms(40) }));
+    assert_eq!(pace.record_arrival(ms(1_120), ms(1_120), 2), Some(PaceSample { gap: ms(80), pace: ms(40) }));
     for (boot, monotonic) in [(6_150, 1_150), (6_151, 1_151), (6_160, 1_160), (6_440, 1_440)] {
-        assert_eq!(pace.arrived(ms(boot), ms(monotonic), 50), None);
+        assert_eq!(pace.record_arrival(ms(boot), ms(monotonic), 50), None);
     }
-    assert_eq!(pace.arrived(ms(6_480), ms(1_480), 1), None, "the first one that counts again");
-    assert_eq!(pace.arrived(ms(6_520), ms(1_520), 1), Some(PaceSample { gap: ms(40), pace: ms(40) }));
+    assert_eq!(pace.record_arrival(ms(6_480), ms(1_480), 1), None, "the first one that counts again");
+    assert_eq!(pace.record_arrival(ms(6_520), ms(1_520), 1), Some(PaceSample { gap: ms(40), pace: ms(40) }));
 }
 
 /// A holder that was suspended beyond its lease must not act on it, and another node may hold it.
--- a/crates/trestlerack/tests/uneven_steps.rs
+++ b/crates/trestlerack/tests/uneven_steps.rs
@@ -1,19 +1,19 @@
-//! Steps on engines of uneven pace: where their last texts go, and when a run moves.
+//! Steps on engines of different pace: where the last texts are placed, and when a run moves.
 
 #[path = "support/load.rs"]
 mod load;
 
-use load::{board_of, plain_server};
+use load::{balancer_of, plain_server};
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
-use trestlerack::process::{MOVE_SLOWNESS, RunMove, ServerBoard, ServerEntry, ServerNeed, ServerRoom};
+use trestlerack::process::{LoadBalancer, MOVE_SLOWNESS, RunMove, ServerEntry, ServerNeed, SlotNeed};
 use trestlerack::request::{ItemEvent, JobItem, JobLedger, JobSpec, LedgerSettings, RunEnd, RunLane};
 use trestlerack::{Name, Timestamp};
 
 const PACE: Duration = Duration::from_millis(40);
 
-/// A step of `groups` groups of two items each, of which its trainer waits for `target`.
+/// A step of `groups` groups with two items each, of which its trainer waits for `target`.
 fn step(groups: usize, target: u32, hint: u64) -> JobLedger {
     let item = |number: usize| JobItem {
         id: format!("item-{number}").into(),
@@ -61,30 +61,38 @@
 }
 
 #[test]
-fn the_last_groups_of_a_step_are_those_nearest_to_be_whole() {
+fn the_last_groups_of_a_step_are_those_closest_to_completion() {
     let mut ledger = step(10, 8, 20);
-    assert!(last_wanted(&ledger).is_empty(), "all are wanted alike");
+    assert!(last_wanted(&ledger).is_empty(), "most groups are still missing");
     (0..10).for_each(|index| list(&mut ledger, index, 5));
-    assert!(last_wanted(&ledger).is_empty(), "three of eight are still to come");
+    assert!(last_wanted(&ledger).is_empty(), "three of eight are missing");
     list(&mut ledger, 10, 5);
     list(&mut ledger, 11, 5);
     list(&mut ledger, 12, 5);
-    assert_eq!(last_wanted(&ledger).len(), 4, "two to come: one near, and any of the others");
+    assert_eq!(
+        last_wanted(&ledger).len(),
+        4,
+        "two are missing: one is half done, and any of the others may be the second"
+    );
     list(&mut ledger, 14, 5);
     assert_eq!(last_wanted(&ledger), ["group-6", "group-7"].map(Name::from));
     list(&mut ledger, 13, 5);
     list(&mut ledger, 15, 5);
-    assert!(last_wanted(&ledger).is_empty(), "the trainer has what it waits for");
+    assert!(last_wanted(&ledger).is_empty(), "the trainer has all groups that it waits for");
     let mut untrained = step(4, 0, 20);
     (0..6).for_each(|index| list(&mut untrained, index, 5));
-    assert!(last_wanted(&untrained).is_empty(), "no step waits");
+    assert!(last_wanted(&untrained).is_empty(), "no trainer waits");
 }
 
 #[test]
-fn the_length_of_a_text_is_learnt_from_those_that_are_whole() {
+fn text_length_is_estimated_from_complete_texts() {
     let mut ledger = step(2, 2, 40);
     make_events(&mut ledger, 1, 5);
-    assert_eq!((ledger.share_made(1), ledger.events_left(1)), (5.0 / 40.0, Some(35.0)), "a token an event at first");
+    assert_eq!(
+        (ledger.share_made(1), ledger.events_left(1)),
+        (5.0 / 40.0, Some(35.0)),
+        "one token per event is assumed at first"
+    );
     list(&mut ledger, 0, 10);
     assert_eq!((ledger.share_made(1), ledger.events_left(1)), (0.5, Some(5.0)));
     assert!(!ledger.was_preempted(1));
@@ -97,11 +105,11 @@
 }
 
 #[test]
-fn a_last_run_moves_for_what_it_gains_and_others_for_a_large_difference_only() {
-    // 30 events at 40 ms are 0.17 s sooner whole where an event takes a seventh less.
+fn a_last_run_moves_if_it_saves_time_and_others_only_for_a_large_difference() {
+    // 30 events at 40 ms complete 0.17 s earlier if each event takes a seventh less.
     assert!(run_move(1.14, 1.0, Some(30.0), true).is_worth());
-    assert!(!run_move(1.14, 1.0, Some(30.0), false).is_worth(), "others keep the plain rule");
-    assert!(!run_move(1.14, 1.0, Some(10.0), true).is_worth(), "the text is nearly whole");
+    assert!(!run_move(1.14, 1.0, Some(30.0), false).is_worth(), "other runs need the factor");
+    assert!(!run_move(1.14, 1.0, Some(10.0), true).is_worth(), "the text is nearly complete");
     assert!(!run_move(1.14, 1.0, None, true).is_worth(), "its length is not known");
     for is_last in [true, false] {
         assert!(run_move(1.3, 1.0, None, is_last).is_worth());
@@ -110,81 +118,83 @@
     }
 }
 
-/// Four engines that are 0.6 to 1.6 times as slow as is usual.
+/// Four engines with 0.6 to 1.6 times the normal time per event.
 const SLOWNESS: [(&str, f64); 4] = [("a", 0.6), ("b", 1.0), ("c", 1.15), ("d", 1.6)];
 
-fn engines(slowness: &[(&str, f64)]) -> ServerBoard {
+fn engines(slowness: &[(&str, f64)]) -> LoadBalancer {
     let engine = |(name, _): &(&str, f64)| {
         let models = vec![("m".into(), 1)];
         ServerEntry { models, ..plain_server(name, "s", "z", 8) }
     };
-    let mut board = board_of(&slowness.iter().map(engine).collect::<Vec<_>>());
+    let mut balancer = balancer_of(&slowness.iter().map(engine).collect::<Vec<_>>());
     for (name, factor) in slowness {
-        board.event_gap(Timestamp(1_000), name, PACE.mul_f64(*factor));
+        balancer.record_event_gap(Timestamp(1_000), name, PACE.mul_f64(*factor));
     }
-    board
+    balancer
 }
 
-/// Plays the rest of one text from `start` on, in steps of one usual event, with a move wherever the
-/// rule says so and the faster engines have room; returns when it is whole, in seconds, without the
-/// cost of moves, and how many there were.
-fn play_rest(board: &ServerBoard, start: &str, mut left: f64, is_last: bool) -> (f64, usize) {
+/// Simulates the rest of one text that starts on `start`, one normal event at a time, with a move whenever the
+/// rule allows it and a faster engine has a free slot. Returns the time until the text is complete, in seconds
+/// and without the cost of moves, and the number of moves.
+fn simulate_remaining(balancer: &LoadBalancer, start: &str, mut remaining: f64, is_last: bool) -> (f64, usize) {
     let now = Timestamp(1_000);
     let (mut engine, mut took, mut moves) = (Name::from(start), 0.0, 0);
-    while left > 0.0 {
+    while remaining > 0.0 {
         let avoid = [engine.clone()];
         let need = ServerNeed {
             service: "s",
             weights: Some(("m", 1)),
-            room: ServerRoom::Place,
+            slot_need: SlotNeed::One,
             is_long: is_last,
             avoid: &avoid,
             ..ServerNeed::default()
         };
-        let other = board.choose(now, &need).unwrap().entry.instance.clone();
-        let slowness = board.slowness(now, &engine);
-        let pace = Duration::from_secs_f64(board.typical_pace(now, "s") / 1_000.0);
-        let other_slowness = board.slowness(now, &other);
-        if (RunMove { slowness, other: other_slowness, pace, events_left: Some(left), is_last }).is_worth() {
+        let other = balancer.choose(now, &need).unwrap().entry.instance.clone();
+        let slowness = balancer.slowness(now, &engine);
+        let pace = Duration::from_secs_f64(balancer.median_pace(now, "s") / 1_000.0);
+        let other_slowness = balancer.slowness(now, &other);
+        if (RunMove { slowness, other: other_slowness, pace, events_left: Some(remaining), is_last }).is_worth() {
             (engine, moves) = (other, moves + 1);
         }
-        took += pace.as_secs_f64() * board.slowness(now, &engine);
-        left -= 1.0;
+        took += pace.as_secs_f64() * balancer.slowness(now, &engine);
+        remaining -= 1.0;
     }
     (took, moves)
 }
 
 #[test]
-fn a_steps_last_text_never_stays_on_a_slow_engine_while_a_faster_one_has_room() {
-    let board = engines(&SLOWNESS);
+fn a_steps_last_text_never_stays_on_a_slow_engine_while_a_faster_one_has_a_free_slot() {
+    let balancer = engines(&SLOWNESS);
     for start in ["b", "c", "d"] {
-        let (took, moves) = play_rest(&board, start, 30.0, true);
+        let (took, moves) = simulate_remaining(&balancer, start, 30.0, true);
         assert!(moves == 1 && took < 30.0 * 0.6 * 0.04 + 0.01, "from {start}: {took} s, {moves} moves");
     }
-    // The same with engines that differ by less than what a move needs otherwise.
-    let near = engines(&[("a", 1.0), ("b", 1.0), ("c", 1.16), ("d", 1.0)]);
-    let (as_before, last) = (play_rest(&near, "c", 30.0, false), play_rest(&near, "c", 30.0, true));
-    assert_eq!((as_before.1, last.1), (0, 1), "{MOVE_SLOWNESS} is not reached");
-    assert!(last.0 < as_before.0 - 0.12, "{} s, {} s before", last.0, as_before.0);
+    // These engines differ by less than an ordinary run needs to move.
+    let similar = engines(&[("a", 1.0), ("b", 1.0), ("c", 1.16), ("d", 1.0)]);
+    let (ordinary, last) =
+        (simulate_remaining(&similar, "c", 30.0, false), simulate_remaining(&similar, "c", 30.0, true));
+    assert_eq!((ordinary.1, last.1), (0, 1), "{MOVE_SLOWNESS} is not reached");
+    assert!(last.0 < ordinary.0 - 0.12, "{} s, {} s for an ordinary run", last.0, ordinary.0);
 }
 
 #[test]
-fn on_equal_engines_the_last_texts_go_where_they_always_went() {
-    let mut board = engines(&[("a", 1.0), ("b", 1.0), ("c", 1.0)]);
+fn on_equal_engines_the_last_texts_are_placed_like_all_others() {
+    let mut balancer = engines(&[("a", 1.0), ("b", 1.0), ("c", 1.0)]);
     for loads in [[0, 0, 0], [2, 1, 3], [7, 7, 6], [5, 8, 8]] {
         let names = ["a", "b", "c"];
         for (name, load) in names.iter().zip(loads) {
-            (0..load).for_each(|_| board.started(name));
+            (0..load).for_each(|_| balancer.started(name));
         }
         let chosen = |is_long: bool| {
-            let room = ServerRoom::Place;
-            let need = ServerNeed { service: "s", weights: Some(("m", 1)), room, is_long, ..ServerNeed::default() };
-            board.choose(Timestamp(1_000), &need).map(|belief| belief.entry.instance.clone())
+            let slot_need = SlotNeed::One;
+            let need =
+                ServerNeed { service: "s", weights: Some(("m", 1)), slot_need, is_long, ..ServerNeed::default() };
+            balancer.choose(Timestamp(1_000), &need).map(|server| server.entry.instance.clone())
         };
         assert_eq!(chosen(true), chosen(false), "{loads:?}");
-        assert_eq!(play_rest(&engines(&[("a", 1.0), ("b", 1.0)]), "a", 50.0, true).1, 0);
+        assert_eq!(simulate_remaining(&engines(&[("a", 1.0), ("b", 1.0)]), "a", 50.0, true).1, 0);
         for (name, load) in names.iter().zip(loads) {
-            (0..load).for_each(|_| board.ended(name));
+            (0..load).for_each(|_| balancer.ended(name));
         }
     }
 }
--- a/crates/trestlerackd/src/entry/attempt.rs
+++ b/crates/trestlerackd/src/entry/attempt.rs
@@ -109,7 +109,7 @@
     let (response, lease) = match sent {
         Ok(answer) => answer,
         Err(error) => {
-            node.board.lock().unwrap().failed(node.now(), &instance);
+            node.balancer.lock().unwrap().failed(node.now(), &instance);
             return Err(match error {
                 ExchangeError::NotSent(detail) => {
                     ticket.settle();
@@ -129,9 +129,9 @@
         return Err(AttemptError::MayHaveRun("an answer to another request came".into()));
     }
     if let Some(load) = head.load {
-        node.board.lock().unwrap().stated_load(node.now(), &instance, load.running, load.waiting);
+        node.balancer.lock().unwrap().record_load(node.now(), &instance, load.running, load.waiting);
         if let Some(percent) = load.slowness_percent {
-            server_answers::stated_slowness(node, &instance, percent);
+            server_answers::record_reported_slowness(node, &instance, percent);
         }
     }
     let is_other_server = parts.status == StatusCode::MISDIRECTED_REQUEST;
@@ -155,11 +155,11 @@
 }
 
 fn note_refusal(node: &EntryNode, instance: &str, is_gone: bool) {
-    let mut board = node.board.lock().unwrap();
+    let mut balancer = node.balancer.lock().unwrap();
     if is_gone {
-        board.failed(node.now(), instance);
+        balancer.failed(node.now(), instance);
     } else {
-        board.refused(node.now(), instance);
+        balancer.refused(node.now(), instance);
     }
 }
 
@@ -187,11 +187,11 @@
         let open = open_answer(node, ticket, request, wants_fresh).await?;
         let body = held::read_answer(node, &request_id, open.body, MAX_ANSWER).await;
         let Some((body, held)) = body else {
-            node.board.lock().unwrap().failed(node.now(), &instance);
+            node.balancer.lock().unwrap().failed(node.now(), &instance);
             server_end::connection_broke(node, &open.ticket, &request_id).await;
             return Err(AttemptError::MayHaveRun("the answer broke off".into()));
         };
-        node.board.lock().unwrap().succeeded(&instance);
+        node.balancer.lock().unwrap().succeeded(&instance);
         suspects::answered(node, &open.ticket);
         if !open.head.is_closing {
             node.pool.keep(open.lease, open.head.idle_limit);
@@ -203,7 +203,7 @@
         Err(_) => {
             // A server whose answer waits for room here is not to blame.
             if !node.held.is_pressed() {
-                node.board.lock().unwrap().failed(node.now(), &instance);
+                node.balancer.lock().unwrap().failed(node.now(), &instance);
             }
             Err(AttemptError::MayHaveRun("no whole answer in time".into()))
         }
--- a/crates/trestlerackd/src/entry/attempts.rs
+++ b/crates/trestlerackd/src/entry/attempts.rs
@@ -16,7 +16,7 @@
 use futures_util::stream::FuturesUnordered;
 use std::sync::Arc;
 use std::time::Duration;
-use trestlerack::process::{AttemptReason, ServerRoom};
+use trestlerack::process::{AttemptReason, SlotNeed};
 use trestlerack::request::RequestFingerprint;
 use trestlerack::version::{RequestRoute, RouteKind};
 use trestlerack::{Name, Timestamp};
@@ -117,7 +117,7 @@
     }
 
     fn may_have_second(&self) -> bool {
-        let is_compared = |service: &Name| self.node.board.lock().unwrap().compares_servers(service);
+        let is_compared = |service: &Name| self.node.balancer.lock().unwrap().compares_servers(service);
         self.is_safe() && self.service().is_some_and(is_compared)
     }
 
@@ -286,7 +286,7 @@
     fn find_beside(&self, trail: &mut RequestTrail, before: &OpenAttempt, is_early: bool) -> Option<ServerTicket> {
         let Self { node, route, request, deadline, fingerprint } = *self;
         let pick = |room| plain::pick_server(node, route, request, fingerprint, trail.tried(), room);
-        let ticket = pick(ServerRoom::Place)?;
+        let ticket = pick(SlotNeed::One)?;
         let call = plain::room_call(route, request, trail.started(), deadline)?;
         if is_early && !before.is_trial && !room::may_try_again(node, &call, AttemptReason::Beside) {
             return None;
@@ -334,9 +334,9 @@
     /// Pauses servers that may never answer.
     fn pause_silent(&self, open: &[OpenAttempt]) {
         let now = self.node.now();
-        let mut board = self.node.board.lock().unwrap();
+        let mut balancer = self.node.balancer.lock().unwrap();
         open.iter().for_each(|attempt| {
-            board.failed(now, &attempt.server);
+            balancer.failed(now, &attempt.server);
         });
     }
 
--- a/crates/trestlerackd/src/entry/choice_log.rs
+++ b/crates/trestlerackd/src/entry/choice_log.rs
@@ -14,23 +14,23 @@
     server: &ServerEntry,
     model: Option<&str>,
 ) {
-    let basis = node.board.lock().unwrap().basis(node.now(), &server.instance, model);
+    let basis = node.balancer.lock().unwrap().snapshot(node.now(), &server.instance, model);
     // A server that left just now was chosen all the same.
     let Some(basis) = basis else { return logs::write(event, about) };
     let load_age_ms = basis.load_age_ms.map_or_else(|| "none".to_owned(), |age| age.to_string());
     let slowness = format!("{:.2}", basis.slowness);
-    let expected = format!("{:.2}", basis.expected);
-    let standing = basis.standing.as_str();
-    let told_by = basis.told_by.as_deref().unwrap_or("own");
+    let expected = format!("{:.2}", basis.expected_slowness);
+    let standing = basis.health.as_str();
+    let told_by = basis.reported_by.as_deref().unwrap_or("own");
     let beliefs: [(&str, &dyn Display); 9] = [
         ("in_flight", &basis.in_flight),
-        ("others", &basis.others),
+        ("others", &basis.other_requests),
         ("load_age_ms", &load_age_ms),
         ("slowness", &slowness),
         ("expected", &expected),
         ("standing", &standing),
         ("told_by", &told_by),
-        ("weights", &basis.weights),
+        ("weights", &basis.weight_version),
         ("zone", &server.zone),
     ];
     logs::write(event, &[about, &beliefs].concat());
--- a/crates/trestlerackd/src/entry/duties/engines.rs
+++ b/crates/trestlerackd/src/entry/duties/engines.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use trestlerack::border::StoreError;
-use trestlerack::process::{EngineFleet, FleetRow, FleetSettings, ScalingTerms, ZoneEngines};
+use trestlerack::process::{FleetController, FleetRow, FleetSettings, ScalingConfig, ZoneEngines};
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall, StoreReply};
 use trestlerack::{Name, event};
 use trestlerack_platform::{self as platform, DutyAnswer};
@@ -20,7 +20,7 @@
 /// What the holder knows of one service.
 #[derive(Default)]
 struct ServiceDesk {
-    fleet: EngineFleet,
+    fleet: FleetController,
     row: FleetRow,
     version: u64,
     /// Zones whose order the platform may not have.
@@ -53,7 +53,7 @@
     node: &Arc<EntryNode>,
     caller: &DutyCaller,
     service: &Name,
-    terms: &ScalingTerms,
+    terms: &ScalingConfig,
     desks: &mut BTreeMap<Name, ServiceDesk>,
 ) -> Result<(), StoreError> {
     if !desks.contains_key(service) {
@@ -74,7 +74,7 @@
 /// the platform has them.
 async fn open(node: &Arc<EntryNode>, service: &Name) -> Result<ServiceDesk, StoreError> {
     let rows = tables::read_all(&node.store, tables::ENGINE_ORDERS, tables::ENGINE_ORDERS).await?;
-    let fleet = EngineFleet::new(FleetSettings::default());
+    let fleet = FleetController::new(FleetSettings::default());
     let Some(row) = rows.into_iter().find(|row| row.key == *service) else {
         return Ok(ServiceDesk { fleet, ..ServiceDesk::default() });
     };
@@ -154,7 +154,7 @@
         DutyAnswer::NoneLeft | DutyAnswer::Refused => {
             desk.unsent.remove(0);
             desk.row.orders.remove(&zone);
-            desk.fleet.refused(node.now(), &zone);
+            desk.fleet.record_refusal(node.now(), &zone);
         }
         DutyAnswer::RateLimited | DutyAnswer::Unknown => {}
     }
--- a/crates/trestlerackd/src/entry/engine_memory.rs
+++ b/crates/trestlerackd/src/entry/engine_memory.rs
@@ -24,11 +24,11 @@
     let id = request.id();
     let Some(service) = route.service_for(id) else { return false };
     let (is_too_large, capacity) = {
-        let memory = &node.board.lock().unwrap().memory;
+        let memory = &node.balancer.lock().unwrap().memory;
         (memory.can_never_run(service, &tokens), memory.capacity(service).unwrap_or(0))
     };
     if is_too_large {
-        let prompt = tokens.whole_prompt();
+        let prompt = tokens.total_prompt();
         logs::write(event::REQUEST_OVERSIZE, &[("request", &id), ("prompt", &prompt), ("capacity", &capacity)]);
     }
     is_too_large
@@ -39,9 +39,9 @@
 pub fn log_left(node: &EntryNode, request: &str, need: &ServerNeed<'_>) {
     let Some(tokens) = need.tokens else { return };
     let now = node.now();
-    let left = node.board.lock().unwrap().left_for_memory(now, need);
+    let left = node.balancer.lock().unwrap().skipped_for_memory(now, need);
     for (engine, held) in left {
-        let wanted = tokens.alone();
+        let wanted = tokens.total();
         let fields: [(&str, &dyn std::fmt::Display); 4] =
             [("request", &request), ("engine", &engine), ("held", &held), ("wanted", &wanted)];
         logs::write(event::ENGINE_FULL, &fields);
@@ -53,11 +53,11 @@
 pub fn is_oversize(node: &EntryNode, driver: &JobDriver, index: usize, service: &str) -> bool {
     let Some(tokens) = driver.tokens[index] else { return false };
     let (is_oversize, capacity) = {
-        let memory = &node.board.lock().unwrap().memory;
+        let memory = &node.balancer.lock().unwrap().memory;
         (memory.is_oversize(service, &tokens), memory.capacity(service).unwrap_or(0))
     };
     if is_oversize && driver.oversize.lock().unwrap().insert(index) {
-        let (item, job, wanted) = (&driver.spec.items[index].id, &driver.spec.id, tokens.alone());
+        let (item, job, wanted) = (&driver.spec.items[index].id, &driver.spec.id, tokens.total());
         let fields: [(&str, &dyn std::fmt::Display); 4] =
             [("item", item), ("job", job), ("wanted", &wanted), ("capacity", &capacity)];
         logs::write(event::ITEM_OVERSIZE, &fields);
@@ -75,7 +75,7 @@
 /// Returns the lines of the metrics page that tell which engines hold how many tokens of this node's
 /// runs.
 pub fn metrics_lines(node: &EntryNode) -> String {
-    let holders = node.board.lock().unwrap().memory.holders();
+    let holders = node.balancer.lock().unwrap().memory.usage_by_engine();
     let line = |(engine, tokens): &(trestlerack::Name, u64)| {
         format!("trestlerack_entry_engine_tokens{{engine=\"{engine}\"}} {tokens}\n")
     };
--- a/crates/trestlerackd/src/entry/feed_relay.rs
+++ b/crates/trestlerackd/src/entry/feed_relay.rs
@@ -321,7 +321,7 @@
     if &*row.table != platform::SERVER_TABLE || row.removed {
         return true;
     }
-    registry.get(&row.key).is_none_or(|entry| node.levels.is_in_part(&call.node, &call.zone, entry))
+    registry.get(&row.key).is_none_or(|entry| node.levels.is_in_subset(&call.node, &call.zone, entry))
 }
 
 /// Passes on what the store told of a table other than service discovery's.
--- a/crates/trestlerackd/src/entry/feeds.rs
+++ b/crates/trestlerackd/src/entry/feeds.rs
@@ -200,7 +200,7 @@
                 let table = Arc::new(table);
                 *routing = Some(table.clone());
                 drop(routing);
-                node.board.lock().unwrap().memory.set_capacities(&table);
+                node.balancer.lock().unwrap().memory.set_capacities(&table);
                 compare_shared_servers(node, &table);
             }
         }
@@ -220,9 +220,9 @@
     if table.customers.is_none() {
         return;
     }
-    let mut board = node.board.lock().unwrap();
+    let mut balancer = node.balancer.lock().unwrap();
     for service in table.services.values().filter(|service| service.models.is_empty()) {
-        board.compare_servers(&service.name);
+        balancer.compare_servers(&service.name);
     }
 }
 
@@ -251,7 +251,7 @@
 fn apply_engine_row(node: &Arc<EntryNode>, row: &StoredRow) -> Result<(), StoreError> {
     if row.removed {
         node.weights.assign(&row.key, None);
-        node.board.lock().unwrap().assign(&row.key, None);
+        node.balancer.lock().unwrap().assign(&row.key, None);
         return Ok(());
     }
     learn_assignment(node, &row.key, tables::decode(&row.value)?);
@@ -260,12 +260,12 @@
 
 /// Takes over what an engine was ordered: it takes no new work until it holds the version.
 pub fn learn_assignment(node: &Arc<EntryNode>, instance: &Name, assignment: EngineAssignment) {
-    node.board.lock().unwrap().assign(instance, Some(&assignment.model));
+    node.balancer.lock().unwrap().assign(instance, Some(&assignment.model));
     server_feed::hold_assigned(node, instance, &assignment.model);
     if assignment.version > 0 {
         let age = Duration::from_millis(node.store.clock_ms().saturating_sub(assignment.ordered_ms));
         let until = node.now() + Duration::from_millis(assignment.load_ms).saturating_sub(age);
-        node.board.lock().unwrap().loading(instance, &assignment.model, assignment.version, until);
+        node.balancer.lock().unwrap().record_loading(instance, &assignment.model, assignment.version, until);
     }
     node.weights.assign(instance, Some(assignment));
 }
--- a/crates/trestlerackd/src/entry/item_run.rs
+++ b/crates/trestlerackd/src/entry/item_run.rs
@@ -108,14 +108,14 @@
     if !node.may_start_work() {
         return (RunEnd::NotRun, "news of ended jobs is too old".into());
     }
-    let limits = RunLimits::at_pace(node.board.lock().unwrap().typical_pace(node.now(), &ticket.server.service));
+    let limits = RunLimits::at_pace(node.balancer.lock().unwrap().median_pace(node.now(), &ticket.server.service));
     let opening = attempt::open_answer(node, ticket, request, false);
     let open = match clock::timeout(limits.head, opening).await {
         Ok(Ok(open)) => open,
         Ok(Err(AttemptError::MayHaveRun(detail))) => return (RunEnd::Broken, detail),
         Ok(Err(error)) => return (RunEnd::NotRun, error.to_string()),
         Err(_) => {
-            node.board.lock().unwrap().failed(node.now(), &instance);
+            node.balancer.lock().unwrap().failed(node.now(), &instance);
             return (RunEnd::Broken, "no head of an answer in time".into());
         }
     };
@@ -125,7 +125,7 @@
         StatusCode::INTERNAL_SERVER_ERROR => (RunEnd::Failed, "the engine answered that it failed".into()),
         // Its deadline passed, or something before it failed: no failure of the item.
         status => {
-            node.board.lock().unwrap().failed(node.now(), &instance);
+            node.balancer.lock().unwrap().failed(node.now(), &instance);
             (RunEnd::Broken, format!("the engine answered {status}"))
         }
     }
@@ -172,13 +172,13 @@
         let frame = match clock::timeout(limits.event, body.frame()).await {
             Ok(Some(Ok(frame))) => frame,
             Ok(Some(Err(error))) => {
-                node.board.lock().unwrap().failed(node.now(), &instance);
+                node.balancer.lock().unwrap().failed(node.now(), &instance);
                 server_end::connection_broke(node, &ticket, &item.id).await;
                 return (RunEnd::Broken, error.to_string());
             }
             Ok(None) => break,
             Err(_) => {
-                node.board.lock().unwrap().failed(node.now(), &instance);
+                node.balancer.lock().unwrap().failed(node.now(), &instance);
                 return (RunEnd::Broken, "no event in time".into());
             }
         };
@@ -205,7 +205,7 @@
     if !decoder.is_between_events() {
         return (RunEnd::Broken, "the stream ended within an event".into());
     }
-    node.board.lock().unwrap().succeeded(&instance);
+    node.balancer.lock().unwrap().succeeded(&instance);
     suspects::answered(node, &ticket);
     if !head.is_closing {
         node.pool.keep(lease, head.idle_limit);
@@ -215,7 +215,7 @@
 
 fn note_version(node: &EntryNode, instance: &Name, model: Option<&Name>, version: Option<WeightVersion>) {
     if let (Some(model), Some(version)) = (model, version) {
-        node.board.lock().unwrap().stated_version(instance, model, version);
+        node.balancer.lock().unwrap().record_version(instance, model, version);
     }
 }
 
@@ -225,8 +225,8 @@
         return Duration::ZERO;
     }
     let (since_boot, monotonic) = clock::both_clocks();
-    let Some(sample) = pace.arrived(since_boot, monotonic, events) else { return Duration::ZERO };
-    node.board.lock().unwrap().event_gap(node.now(), instance, sample.pace);
+    let Some(sample) = pace.record_arrival(since_boot, monotonic, events) else { return Duration::ZERO };
+    node.balancer.lock().unwrap().record_event_gap(node.now(), instance, sample.pace);
     sample.gap
 }
 
@@ -236,7 +236,7 @@
     if gap <= trace.longest_gap || trace.lane == RunLane::Spare {
         return;
     }
-    let usual = node.board.lock().unwrap().typical_pace(node.now(), service);
+    let usual = node.balancer.lock().unwrap().median_pace(node.now(), service);
     if shows_preemption(gap, usual) {
         driver.ledger.lock().unwrap().note_preempted(trace.index);
     }
--- a/crates/trestlerackd/src/entry/job_driver.rs
+++ b/crates/trestlerackd/src/entry/job_driver.rs
@@ -313,7 +313,7 @@
     let engines = service.map_or(0, |service| {
         let weights = spec.model.as_deref().map(|model| (model, spec.min_version));
         let need = ServerNeed { service, weights, zone: &node.settings.zone, ..ServerNeed::default() };
-        node.board.lock().unwrap().count(node.now(), &need)
+        node.balancer.lock().unwrap().count_eligible(node.now(), &need)
     });
     let fields: [(&str, &dyn std::fmt::Display); 7] = [
         ("job", &spec.id),
--- a/crates/trestlerackd/src/entry/job_runs.rs
+++ b/crates/trestlerackd/src/entry/job_runs.rs
@@ -8,7 +8,7 @@
 use crate::process::logs;
 use std::sync::Arc;
 use std::time::Duration;
-use trestlerack::process::{ServerEntry, ServerNeed, ServerRoom};
+use trestlerack::process::{ServerEntry, ServerNeed, SlotNeed};
 use trestlerack::request::{ItemPhase, JobLedger, RequestFingerprint, RunEnd, RunLane};
 use trestlerack::version::{RequestRoute, RoutingTable};
 use trestlerack::{Name, event};
@@ -65,14 +65,14 @@
         let model = driver.spec.model_of(item);
         let Some(need) = item_need(node, driver, route, index, model.as_deref()) else { return };
         let is_long = ledger.is_long(index) || last.contains(&item.group);
-        let mut need = ServerNeed { pinned: ledger.pinned_version(index), is_long, ..need };
-        let board = node.board.lock().unwrap();
-        if need.pinned.is_some() && board.count(now, &need) == 0 {
+        let mut need = ServerNeed { pinned_version: ledger.pinned_version(index), is_long, ..need };
+        let balancer = node.balancer.lock().unwrap();
+        if need.pinned_version.is_some() && balancer.count_eligible(now, &need) == 0 {
             // Nobody holds that version any more.
             ledger.restart(index);
-            need.pinned = None;
+            need.pinned_version = None;
         }
-        drop(board);
+        drop(balancer);
         let (entry, is_apart) = choose_engine(node, driver.fingerprints[index], &need);
         engine_memory::log_left(node, &item.id, &need);
         let is_oversize = engine_memory::is_oversize(node, driver, index, need.service);
@@ -84,8 +84,8 @@
                 start_run(node, driver, &mut ledger, index, entry);
             }
             // Others may find a place all the same.
-            None if is_oversize => node.board.lock().unwrap().keep_engine(now, &need),
-            None if need.pinned.is_some() || is_apart => {}
+            None if is_oversize => node.balancer.lock().unwrap().reserve_engine(now, &need),
+            None if need.pinned_version.is_some() || is_apart => {}
             None => {
                 drop(ledger);
                 return yield_spares(node, driver, waiting.len() - placed);
@@ -106,7 +106,7 @@
     Some(ServerNeed {
         service: route.service_for(&driver.spec.items[index].id)?,
         weights: model.map(|model| (model, driver.spec.min_version)),
-        room: ServerRoom::Place,
+        slot_need: SlotNeed::One,
         tokens: driver.tokens[index].as_ref(),
         zone: &node.settings.zone,
         tie_key: &node.settings.name,
@@ -147,7 +147,7 @@
     let entry = if is_apart {
         suspects::choose_apart(node, fingerprint, need)
     } else {
-        node.board.lock().unwrap().choose(node.now(), need).map(|belief| belief.entry.clone())
+        node.balancer.lock().unwrap().choose(node.now(), need).map(|server| server.entry.clone())
     };
     (entry, is_apart)
 }
@@ -215,8 +215,8 @@
     let Some((index, engine)) = ledger.spare_candidates(newest).into_iter().find(is_clear) else { return };
     let Some(need) = item_need(node, driver, route, index, Some(&model)) else { return };
     let avoid = std::slice::from_ref(&engine);
-    let need = ServerNeed { weights: Some((&model, newest)), room: ServerRoom::Half, avoid, ..need };
-    let entry = node.board.lock().unwrap().choose(node.now(), &need).map(|belief| belief.entry.clone());
+    let need = ServerNeed { weights: Some((&model, newest)), slot_need: SlotNeed::HalfFree, avoid, ..need };
+    let entry = node.balancer.lock().unwrap().choose(node.now(), &need).map(|server| server.entry.clone());
     let Some(entry) = entry else { return };
     let lane = RunLane::Spare;
     let rank = urgency::of_item(node, driver, &ledger, &entry.service, index, lane);
--- a/crates/trestlerackd/src/entry/job_scores.rs
+++ b/crates/trestlerackd/src/entry/job_scores.rs
@@ -44,7 +44,7 @@
     let routing = node.routing();
     let route = scorer.zip(routing.as_ref()).and_then(|(scorer, routing)| routing.select(&scorer.host, &scorer.path));
     let service = route.zip(scorer).and_then(|(route, scorer)| route.service_for(&scorer.id));
-    let places = service.map_or(0, |service| node.board.lock().unwrap().places(service));
+    let places = service.map_or(0, |service| node.balancer.lock().unwrap().slot_count(service));
     ((f64::from(places) * SCORE_SHARE) as usize).max(1)
 }
 
--- a/crates/trestlerackd/src/entry/levels.rs
+++ b/crates/trestlerackd/src/entry/levels.rs
@@ -197,8 +197,8 @@
     }
 
     /// Returns whether a node makes use of a server.
-    pub fn is_in_part(&self, node: &str, zone: &str, entry: &ServerEntry) -> bool {
-        self.counts.lock().unwrap().is_in_part(node, zone, entry)
+    pub fn is_in_subset(&self, node: &str, zone: &str, entry: &ServerEntry) -> bool {
+        self.counts.lock().unwrap().is_in_subset(node, zone, entry)
     }
 }
 
@@ -233,7 +233,7 @@
         node.levels.clear();
     }
     if !is_in_force || node.levels.is_direct() {
-        redraw(node, is_in_force);
+        replace_if_changed(node, is_in_force);
     }
     is_chosen || !node.drivers.lock().unwrap().is_empty() || node.lease.fence(node.now()).is_some()
 }
@@ -267,7 +267,7 @@
 
 /// Draws the servers that nodes make use of anew where their numbers have changed much. While all nodes
 /// follow the store they make use of all.
-fn redraw(node: &Arc<EntryNode>, is_in_force: bool) {
+fn replace_if_changed(node: &Arc<EntryNode>, is_in_force: bool) {
     if is_in_force && node.now().since(*node.levels.drawn_at.lock().unwrap()) < REDRAW_PAUSE {
         return;
     }
@@ -278,7 +278,7 @@
         }
         if is_in_force { ServerCounts::of(registry.entries()) } else { ServerCounts::default() }
     };
-    let is_redrawn = node.levels.counts.lock().unwrap().redraw(counts);
+    let is_redrawn = node.levels.counts.lock().unwrap().replace_if_changed(counts);
     if is_redrawn {
         *node.levels.drawn_at.lock().unwrap() = node.now();
         node.levels.drawn.store(rand::random(), Ordering::Relaxed);
--- a/crates/trestlerackd/src/entry/metrics.rs
+++ b/crates/trestlerackd/src/entry/metrics.rs
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::TcpListener;
-use trestlerack::process::{ServerLine, ServerStanding};
+use trestlerack::process::{ServerHealth, ServerStatus};
 use trestlerack::request::RunEnd;
 use trestlerack::version::OrderOutcome;
 
@@ -140,10 +140,10 @@
 
 /// Adds the gauges of the servers that are compared with their peers.
 fn server_gauges(node: &EntryNode, page: &mut Vec<u8>) {
-    let lines = node.board.lock().unwrap().server_lines(node.now());
-    for ServerLine { instance, service, standing, expected, sent, .. } in lines {
+    let lines = node.balancer.lock().unwrap().server_statuses(node.now());
+    for ServerStatus { instance, service, health: standing, expected_slowness: expected, sent, .. } in lines {
         let labels = format!("{{server=\"{instance}\",service=\"{service}\"}}");
-        let is_aside = u8::from(standing != ServerStanding::Well);
+        let is_aside = u8::from(standing != ServerHealth::Healthy);
         let gauges = format!(
             "trestlerack_entry_server_expected{labels} {expected:.3}\n\
              trestlerack_entry_server_sent{labels} {sent}\n\
--- a/crates/trestlerackd/src/entry/news/server_news.rs
+++ b/crates/trestlerackd/src/entry/news/server_news.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use trestlerack::event;
-use trestlerack::process::{NodeNews, ServerNote, server_gossip};
+use trestlerack::process::{NodeNews, ServerNote, server_gossip_settings};
 
 /// Time in which notes are gathered before they are told, so that several share a message. Short beside
 /// the time that a caller waits for an answer.
@@ -31,7 +31,7 @@
 pub fn answer(node: &Arc<EntryNode>, told: Vec<ServerNote>, is_asking: bool) -> Vec<ServerNote> {
     if is_asking {
         let name = &node.settings.name;
-        return node.board.lock().unwrap().known_notes(node.now(), name);
+        return node.balancer.lock().unwrap().known_observations(node.now(), name);
     }
     learn(node, told);
     Vec::new()
@@ -41,7 +41,7 @@
 pub fn learn(node: &Arc<EntryNode>, told: Vec<ServerNote>) {
     let mut has_news = false;
     for note in told {
-        let is_news = node.board.lock().unwrap().learn_note(node.now(), &node.settings.name, &note);
+        let is_news = node.balancer.lock().unwrap().merge_observation(node.now(), &node.settings.name, &note);
         if is_news {
             log_told(&note);
             has_news = true;
@@ -66,15 +66,15 @@
 /// Tells some peers what may be told now. Returns whether something is left.
 async fn tell_some(node: &Arc<EntryNode>) -> bool {
     let (notes, is_left) = {
-        let mut board = node.board.lock().unwrap();
-        (board.take_notes(node.now(), &node.settings.name), board.has_notes())
+        let mut balancer = node.balancer.lock().unwrap();
+        (balancer.take_observations(node.now(), &node.settings.name), balancer.has_observations())
     };
     if notes.is_empty() {
         return is_left;
     }
     let own = notes.iter().filter(|note| note.origin == node.settings.name);
     own.for_each(|note| log_changed(node, note));
-    let chosen = server_gossip().pick_told(&node.peers.others(), &mut rand::rng());
+    let chosen = server_gossip_settings().pick_told(&node.peers.others(), &mut rand::rng());
     let news = NodeNews { servers: notes, ..NodeNews::default() };
     // A peer that does not answer hears of it from others.
     tell(node, &chosen, news).await;
@@ -84,7 +84,7 @@
 /// Asks a peer for what it knows of servers: a node that has just started would else find out by its own
 /// callers.
 pub async fn ask_peer(node: Arc<EntryNode>) {
-    let gossip = server_gossip();
+    let gossip = server_gossip_settings();
     for _ in 0..ASKED_PEERS {
         let peer = gossip.pick_asked(&node.peers.others(), &mut rand::rng());
         if let Some(peer) = peer
@@ -97,7 +97,7 @@
 }
 
 fn log_changed(node: &EntryNode, note: &ServerNote) {
-    let standing = node.board.lock().unwrap().standing(node.now(), &note.instance).as_str();
+    let standing = node.balancer.lock().unwrap().health(node.now(), &note.instance).as_str();
     let slowness = format!("{:.2}", note.slowness);
     let failing = format!("{:.2}", note.failing);
     let fields: [(&str, &dyn std::fmt::Display); 4] =
--- a/crates/trestlerackd/src/entry/node.rs
+++ b/crates/trestlerackd/src/entry/node.rs
@@ -25,7 +25,7 @@
 use tokio::sync::{Notify, watch};
 use trestlerack::border::Clock;
 use trestlerack::process::{
-    AnswerTimes, BoardSettings, EndNews, EntrySettings, NodeRow, RegistrySettings, ServerBoard, ServerRegistry,
+    BalancerSettings, EndNews, EntrySettings, LatencyEstimates, LoadBalancer, NodeRow, RegistrySettings, ServerRegistry,
 };
 use trestlerack::request::JobHead;
 use trestlerack::version::{RoutingTable, WeightVersion};
@@ -89,9 +89,9 @@
     /// Registered backend servers.
     pub registry: Mutex<ServerRegistry>,
     /// What is believed of them.
-    pub board: Mutex<ServerBoard>,
+    pub balancer: Mutex<LoadBalancer>,
     /// How long answers take, by route.
-    pub route_times: Mutex<AnswerTimes>,
+    pub route_times: Mutex<LatencyEstimates>,
     /// Tells that peers may be to be told of servers.
     pub has_server_notes: Notify,
     /// Calls that wait for a place of a service.
@@ -163,7 +163,7 @@
             routing: RwLock::new(None),
             key_refresh: KeyRefresh::default(),
             registry: Mutex::new(ServerRegistry::new(RegistrySettings::default())),
-            board: Mutex::new(ServerBoard::new(BoardSettings::default())),
+            balancer: Mutex::new(LoadBalancer::new(BalancerSettings::default())),
             route_times: Mutex::default(),
             has_server_notes: Notify::new(),
             room: RoomDesk::new(),
--- a/crates/trestlerackd/src/entry/peers.rs
+++ b/crates/trestlerackd/src/entry/peers.rs
@@ -347,7 +347,7 @@
             // Only directly: a call that wandered from peer to peer might never end.
             match node.direct_store.call_within(&call, RELAY_TIMEOUT + wait).await {
                 Ok(reply) => PeerReply::Relayed(reply),
-                Err(StoreError::RateLimited) if !node.store.is_doubtful() => PeerReply::RateLimited,
+                Err(StoreError::RateLimited) if !node.store.prefers_peers() => PeerReply::RateLimited,
                 Err(StoreError::Unavailable | StoreError::RateLimited) => PeerReply::Unavailable,
                 Err(StoreError::Unknown) => PeerReply::Unknown,
             }
--- a/crates/trestlerackd/src/entry/plain.rs
+++ b/crates/trestlerackd/src/entry/plain.rs
@@ -12,7 +12,7 @@
 use http::{HeaderMap, Response, StatusCode};
 use std::sync::Arc;
 use std::time::Duration;
-use trestlerack::process::{AttemptReason, CallKind, ServerNeed, ServerRoom};
+use trestlerack::process::{AttemptReason, CallKind, ServerNeed, SlotNeed};
 use trestlerack::request::RequestFingerprint;
 use trestlerack::version::{RequestRoute, RouteKind};
 use trestlerack::{Name, Timestamp, event};
@@ -148,7 +148,7 @@
 /// Returns how long a server gets to answer a repeatable request: what is usual on its route, or longer
 /// where the target latency leaves the time.
 pub fn patience(node: &EntryNode, route: &RequestRoute) -> Duration {
-    let usual = node.route_times.lock().unwrap().usual(&route.name);
+    let usual = node.route_times.lock().unwrap().late_threshold(&route.name);
     let by_target = Duration::from_millis(route.target_latency_ms) * PATIENCE_FACTOR;
     by_target.max(usual.unwrap_or(FIRST_PATIENCE))
 }
@@ -206,7 +206,7 @@
     node: &Arc<EntryNode>,
     call: &RoomCall<'_>,
     trail: &RequestTrail,
-    pick: impl Fn(ServerRoom) -> Option<ServerTicket>,
+    pick: impl Fn(SlotNeed) -> Option<ServerTicket>,
 ) -> Result<ServerTicket, Option<Duration>> {
     if trail.tried().is_empty() {
         room::note_call(node, call);
@@ -215,9 +215,9 @@
     if trail.runs() == 0 || goes_on(call.route, trail) {
         return room::enter(node, call, pick).await;
     }
-    match pick(ServerRoom::Place) {
+    match pick(SlotNeed::One) {
         Some(ticket) => Ok(ticket),
-        None if room::may_try_again(node, call, AttemptReason::AfterFailure) => pick(ServerRoom::Any).ok_or(None),
+        None if room::may_try_again(node, call, AttemptReason::AfterFailure) => pick(SlotNeed::Any).ok_or(None),
         None => Err(None),
     }
 }
@@ -228,7 +228,7 @@
     if let Some(service) = route.service_for(id)
         && room::is_active(node, service)
     {
-        node.board.lock().unwrap().answered(service, took);
+        node.balancer.lock().unwrap().record_latency(service, took);
     }
 }
 
@@ -237,12 +237,12 @@
 async fn search_server(
     node: &EntryNode,
     call: &RoomCall<'_>,
-    pick: impl Fn(ServerRoom) -> Option<ServerTicket>,
+    pick: impl Fn(SlotNeed) -> Option<ServerTicket>,
 ) -> Option<ServerTicket> {
     let search = Duration::from_millis(call.route.target_latency_ms).mul_f64(SEARCH_SHARE);
     let until = node.now() + search;
     loop {
-        if let Some(ticket) = pick(ServerRoom::Any) {
+        if let Some(ticket) = pick(SlotNeed::Any) {
             return Some(ticket);
         }
         if node.now() >= until {
@@ -259,7 +259,7 @@
     request: &ClientRequest,
     fingerprint: RequestFingerprint,
     tried: &[Name],
-    room: ServerRoom,
+    room: SlotNeed,
 ) -> Option<ServerTicket> {
     // A generation may run under any version of its model.
     let model = request.head.model.as_deref();
@@ -274,7 +274,7 @@
         weights,
         tokens: tokens.as_ref(),
         avoid: tried,
-        room,
+        slot_need: room,
         zone,
         tie_key: &node.settings.name,
         is_repeatable,
--- a/crates/trestlerackd/src/entry/room/entrance.rs
+++ b/crates/trestlerackd/src/entry/room/entrance.rs
@@ -8,7 +8,7 @@
 use crate::process::{clock, logs};
 use std::sync::Arc;
 use std::time::Duration;
-use trestlerack::process::{AttemptReason, CallKind, CallRank, RoomSettings, ServerRoom, WaitingCall};
+use trestlerack::process::{AttemptReason, CallKind, CallRank, RoomSettings, SlotNeed, WaitingCall};
 use trestlerack::version::{Customer, RequestRoute};
 use trestlerack::{Name, Timestamp, event};
 
@@ -54,13 +54,13 @@
 pub async fn enter(
     node: &Arc<EntryNode>,
     call: &RoomCall<'_>,
-    pick: impl Fn(ServerRoom) -> Option<ServerTicket>,
+    pick: impl Fn(SlotNeed) -> Option<ServerTicket>,
 ) -> Result<ServerTicket, Option<Duration>> {
     let waiting_call = call.waiting_call(node);
     // A place that only looks free is tried all the same: a server that is full says so sooner than a wait
     // would tell, and another one may have a place.
     if !node.room.is_waited_for(call.service)
-        && let Some(ticket) = pick(ServerRoom::Place)
+        && let Some(ticket) = pick(SlotNeed::One)
     {
         let now = node.now();
         node.room.with_queue(call.service, |held| held.queue.passed(now, &waiting_call));
@@ -73,7 +73,7 @@
     let longest_wait = waiting_call.longest_wait(&RoomSettings::default());
     let hold = wait_for_place(node, call.service, waiting_call.clone()).await;
     let hold = hold.map_err(|refusal| Some(refusal.return_after))?;
-    let pick = || pick(ServerRoom::Place).or_else(|| pick(ServerRoom::Any));
+    let pick = || pick(SlotNeed::One).or_else(|| pick(SlotNeed::Any));
     let ticket = pick();
     // Counted at the server by now, so that the next one does not take the same place.
     drop(hold);
--- a/crates/trestlerackd/src/entry/room/mod.rs
+++ b/crates/trestlerackd/src/entry/room/mod.rs
@@ -115,7 +115,7 @@
 /// Returns whether calls for a service are admitted by its room.
 pub fn is_active(node: &EntryNode, service: &str) -> bool {
     let has_customers = node.routing().is_some_and(|routing| routing.customers.is_some());
-    has_customers || node.board.lock().unwrap().compares_servers(service)
+    has_customers || node.balancer.lock().unwrap().compares_servers(service)
 }
 
 /// Records that a server had no room for a call.
@@ -130,14 +130,14 @@
 /// first pause ends.
 fn view(node: &EntryNode, service: &str) -> ServiceView {
     let now = node.now();
-    let board = node.board.lock().unwrap();
-    let mut estimate = board.wait_estimate(now, service);
+    let balancer = node.balancer.lock().unwrap();
+    let mut estimate = balancer.wait_estimate(now, service);
     if estimate.places == 0
-        && let Some(opens_at) = board.opens_at(service)
+        && let Some(available_at) = balancer.available_at(service)
     {
-        estimate.wait = opens_at.since(now);
+        estimate.wait = available_at.since(now);
     }
-    let in_flight = board.of_service(service).map(|belief| belief.in_flight).sum();
+    let in_flight = balancer.of_service(service).map(|server| server.in_flight).sum();
     ServiceView { estimate, in_flight }
 }
 
--- a/crates/trestlerackd/src/entry/run_moves.rs
+++ b/crates/trestlerackd/src/entry/run_moves.rs
@@ -54,9 +54,9 @@
 /// none, and looking for a place for each run costs more.
 fn slow_engines(node: &EntryNode, route: &RequestRoute, running: &[(usize, Name)], least: f64) -> HashSet<Name> {
     let engines: HashSet<Name> = running.iter().map(|(_, engine)| engine.clone()).collect();
-    let board = node.board.lock().unwrap();
+    let balancer = node.balancer.lock().unwrap();
     let services = route.shares.iter().map(|share| &share.service);
-    services.flat_map(|service| board.slow_among(node.now(), service, least, &engines)).collect()
+    services.flat_map(|service| balancer.slow_servers(node.now(), service, least, &engines)).collect()
 }
 
 /// Returns how slow the engine of a run is and another one with a free place that is much faster.
@@ -72,20 +72,20 @@
         let ledger = driver.ledger.lock().unwrap();
         (ledger.pinned_version(index), ledger.is_long(index), ledger.events_left(index))
     };
-    let board = node.board.lock().unwrap();
+    let balancer = node.balancer.lock().unwrap();
     let now = node.now();
-    let slowness = board.slowness(now, engine);
+    let slowness = balancer.slowness(now, engine);
     let item = &driver.spec.items[index];
     let is_last = last.contains(&item.group);
     let model = driver.spec.model_of(item);
     let need = job_runs::item_need(node, driver, route, index, model.as_deref())?;
     let avoid = std::slice::from_ref(engine);
-    let need = ServerNeed { pinned, is_long: is_long || is_last, avoid, ..need };
-    let other = board.choose(now, &need)?;
+    let need = ServerNeed { pinned_version: pinned, is_long: is_long || is_last, avoid, ..need };
+    let other = balancer.choose(now, &need)?;
     let run_move = RunMove {
         slowness,
-        other: board.slowness(now, &other.entry.instance),
-        pace: Duration::from_secs_f64(board.typical_pace(now, need.service) / 1_000.0),
+        other: balancer.slowness(now, &other.entry.instance),
+        pace: Duration::from_secs_f64(balancer.median_pace(now, need.service) / 1_000.0),
         events_left,
         is_last,
     };
--- a/crates/trestlerackd/src/entry/score_calls.rs
+++ b/crates/trestlerackd/src/entry/score_calls.rs
@@ -13,7 +13,7 @@
 use http::{HeaderMap, Method, StatusCode};
 use std::sync::Arc;
 use std::time::Duration;
-use trestlerack::process::{AttemptReason, CallKind, ServerNeed, ServerRoom};
+use trestlerack::process::{AttemptReason, CallKind, ServerNeed, SlotNeed};
 use trestlerack::request::{RequestContent, RequestFingerprint, ScoreCall};
 use trestlerack::version::RequestRoute;
 use trestlerack::{Name, Timestamp, event};
@@ -113,7 +113,7 @@
         let ticket = match attempts.len() {
             _ if !is_due || !node.may_start_work() => None,
             open if is_by_room => find_place(node, &room_call, open == 0, is_trial || !is_early, pick).await,
-            _ => pick(ServerRoom::Place),
+            _ => pick(SlotNeed::One),
         };
         if let Some(ticket) = ticket {
             tried.push(ticket.server.instance.clone());
@@ -155,7 +155,7 @@
 /// Returns how long an answer may take before a second server is asked: what is usual for the
 /// service, or the route's target latency until that is known.
 fn patience(node: &EntryNode, service: &Name, route: &RequestRoute) -> Duration {
-    let usual = node.board.lock().unwrap().usual_answer_time(service);
+    let usual = node.balancer.lock().unwrap().late_threshold(service);
     usual.unwrap_or(Duration::from_millis(route.target_latency_ms)).max(LEAST_PATIENCE)
 }
 
@@ -166,12 +166,12 @@
     call: &RoomCall<'_>,
     is_first: bool,
     is_free: bool,
-    pick: impl Fn(ServerRoom) -> Option<ServerTicket>,
+    pick: impl Fn(SlotNeed) -> Option<ServerTicket>,
 ) -> Option<ServerTicket> {
     if is_first {
         return room::enter(node, call, pick).await.ok();
     }
-    let ticket = pick(ServerRoom::Place)?;
+    let ticket = pick(SlotNeed::One)?;
     (is_free || room::may_try_again(node, call, AttemptReason::Beside)).then_some(ticket)
 }
 
@@ -180,12 +180,12 @@
     fingerprint: RequestFingerprint,
     service: &Name,
     tried: &[Name],
-    room: ServerRoom,
+    room: SlotNeed,
 ) -> Option<ServerTicket> {
     let need = ServerNeed {
         service,
         avoid: tried,
-        room,
+        slot_need: room,
         zone: &node.settings.zone,
         tie_key: &node.settings.name,
         is_repeatable: true,
@@ -200,11 +200,11 @@
 fn note_slower(node: &EntryNode, route: &RequestRoute, tried: &[Name], starts: &[AnswerWatch], answered: &Name) {
     let now = node.now();
     for (server, watch) in tried.iter().zip(starts).take_while(|(server, _)| *server != answered) {
-        let is_compared = node.board.lock().unwrap().is_compared(server);
+        let is_compared = node.balancer.lock().unwrap().is_compared(server);
         if is_compared {
             server_answers::cut(node, server, &route.name, *watch);
         } else {
-            node.board.lock().unwrap().failed(now, server);
+            node.balancer.lock().unwrap().failed(now, server);
         }
     }
 }
@@ -238,7 +238,7 @@
     let end = match attempt::whole_answer(node, ticket, request, false, left).await {
         Ok(answer) if answer.status.is_success() => match answer.head.signature {
             Some(signature) => {
-                node.board.lock().unwrap().answered(&service, node.now().since(watch.started));
+                node.balancer.lock().unwrap().record_latency(&service, node.now().since(watch.started));
                 server_answers::took(node, &instance, &route.name, watch);
                 ScoreEnd::Scored(signature)
             }
@@ -247,7 +247,7 @@
         Ok(answer) if answer.status == StatusCode::INTERNAL_SERVER_ERROR => ScoreEnd::Failed,
         // Its deadline passed, or something before it failed: no failure of the item.
         Ok(answer) => {
-            node.board.lock().unwrap().failed(node.now(), &instance);
+            node.balancer.lock().unwrap().failed(node.now(), &instance);
             server_answers::failed(node, &instance);
             log_score(call, &instance, &answer.status);
             ScoreEnd::NoAnswer
--- a/crates/trestlerackd/src/entry/second_attempts.rs
+++ b/crates/trestlerackd/src/entry/second_attempts.rs
@@ -11,17 +11,17 @@
 /// none.
 pub fn after(node: &EntryNode, route: &RequestRoute, service: &Name) -> Option<Duration> {
     let target = Duration::from_millis(route.target_latency_ms);
-    node.board.lock().unwrap().second_attempt_after(service, &route.name, target)
+    node.balancer.lock().unwrap().second_attempt_after(service, &route.name, target)
 }
 
 /// Returns whether a call to a server is a trial of one that was set aside.
 pub fn is_trial(node: &EntryNode, server: &str) -> bool {
-    node.board.lock().unwrap().is_trial(node.now(), server)
+    node.balancer.lock().unwrap().is_trial(node.now(), server)
 }
 
 /// Returns whether a service has a free place for a second attempt.
 pub fn has_place(node: &EntryNode, service: &str) -> bool {
-    node.board.lock().unwrap().has_room(node.now(), service)
+    node.balancer.lock().unwrap().has_room(node.now(), service)
 }
 
 /// Logs that a second server was asked.
--- a/crates/trestlerackd/src/entry/server_answers.rs
+++ b/crates/trestlerackd/src/entry/server_answers.rs
@@ -5,13 +5,13 @@
 use crate::process::clock;
 use std::sync::Arc;
 use std::time::Duration;
-use trestlerack::process::{ServerBoard, SuspensionGauge};
+use trestlerack::process::{LoadBalancer, SuspensionGauge};
 use trestlerack::{Name, Timestamp};
 
 /// Records how long work takes at a server, as it stated. The first to do so has a node that started ask
 /// a peer what it knows.
-pub fn stated_slowness(node: &Arc<EntryNode>, server: &str, percent: u32) {
-    let is_first = node.board.lock().unwrap().stated_slowness(node.now(), server, percent);
+pub fn record_reported_slowness(node: &Arc<EntryNode>, server: &str, percent: u32) {
+    let is_first = node.balancer.lock().unwrap().record_reported_slowness(node.now(), server, percent);
     if is_first {
         tokio::spawn(server_news::ask_peer(node.clone()));
     }
@@ -45,36 +45,36 @@
 /// Records that a good answer to a request of `route` has come now.
 pub fn took(node: &EntryNode, server: &str, route: &Name, watch: AnswerWatch) {
     if let Some(elapsed) = watch.elapsed(node) {
-        note(node, |board| board.answer_took(node.now(), server, route, elapsed));
+        note(node, |balancer| balancer.record_response(node.now(), server, route, elapsed));
     }
 }
 
 /// Records that a server has not answered yet.
 pub fn outstanding(node: &EntryNode, server: &str, route: &Name, watch: AnswerWatch) {
     if let Some(elapsed) = watch.elapsed(node) {
-        note(node, |board| board.answer_outstanding(node.now(), server, route, elapsed));
+        note(node, |balancer| balancer.record_pending_response(node.now(), server, route, elapsed));
     }
 }
 
 /// Records that the work of a server was ended now, because one that was asked later answered.
 pub fn cut(node: &EntryNode, server: &str, route: &Name, watch: AnswerWatch) {
     if let Some(elapsed) = watch.elapsed(node) {
-        note(node, |board| board.answer_cut(node.now(), server, route, elapsed));
+        note(node, |balancer| balancer.record_cancelled_response(node.now(), server, route, elapsed));
     }
 }
 
 /// Records an answer that is a failure, or none.
 pub fn failed(node: &EntryNode, server: &str) {
-    note(node, |board| board.answer_failed(node.now(), server));
+    note(node, |balancer| balancer.record_failed_response(node.now(), server));
 }
 
-fn note(node: &EntryNode, record: impl FnOnce(&mut ServerBoard)) {
-    let has_notes = {
-        let mut board = node.board.lock().unwrap();
-        record(&mut board);
-        board.has_notes()
+fn note(node: &EntryNode, record: impl FnOnce(&mut LoadBalancer)) {
+    let has_observations = {
+        let mut balancer = node.balancer.lock().unwrap();
+        record(&mut balancer);
+        balancer.has_observations()
     };
-    if has_notes {
+    if has_observations {
         server_news::wake(node);
     }
 }
--- a/crates/trestlerackd/src/entry/server_feed.rs
+++ b/crates/trestlerackd/src/entry/server_feed.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
-use trestlerack::process::{ServerBoard, ServerEntry, ServerRegistry};
+use trestlerack::process::{LoadBalancer, ServerEntry, ServerRegistry};
 use trestlerack::rows::StoredRow;
 use trestlerack::{Name, event};
 use trestlerack_platform as platform;
@@ -157,17 +157,17 @@
     {
         let drives = driven_models(node);
         let registry = node.registry.lock().unwrap();
-        let mut board = node.board.lock().unwrap();
+        let mut balancer = node.balancer.lock().unwrap();
         for entry in &news.changed {
             // Later news may have come meanwhile.
             if let Some(entry) = registry.get(&entry.instance)
-                && (board.get(&entry.instance).is_some() || is_used(node, entry, &board, &drives))
+                && (balancer.get(&entry.instance).is_some() || is_used(node, entry, &balancer, &drives))
             {
-                board.put(entry);
+                balancer.put(entry);
             }
         }
         for instance in news.removed.iter().filter(|instance| registry.get(instance).is_none()) {
-            board.remove(instance);
+            balancer.remove(instance);
         }
     }
     node.levels.put(news.rows);
@@ -195,13 +195,13 @@
 }
 
 fn is_in_own_part(node: &EntryNode, entry: &ServerEntry) -> bool {
-    node.levels.is_in_part(&node.settings.name, &node.settings.zone, entry)
+    node.levels.is_in_subset(&node.settings.name, &node.settings.zone, entry)
 }
 
 /// Returns whether this node makes use of a server: it is in the node's part, or an engine of a model
 /// whose jobs it drives.
-fn is_used(node: &EntryNode, entry: &ServerEntry, board: &ServerBoard, drives: &[Name]) -> bool {
-    let model = board.assigned_model(&entry.instance);
+fn is_used(node: &EntryNode, entry: &ServerEntry, balancer: &LoadBalancer, drives: &[Name]) -> bool {
+    let model = balancer.assigned_model(&entry.instance);
     model.is_some_and(|model| drives.contains(model)) || is_in_own_part(node, entry)
 }
 
@@ -214,27 +214,27 @@
 pub fn refresh_board(node: &Arc<EntryNode>) {
     let drives = driven_models(node);
     let registry = node.registry.lock().unwrap();
-    let mut board = node.board.lock().unwrap();
-    hold_used(node, &registry, &mut board, &drives);
-    let idle = board.instances().filter(|instance| {
+    let mut balancer = node.balancer.lock().unwrap();
+    hold_used(node, &registry, &mut balancer, &drives);
+    let idle = balancer.instances().filter(|instance| {
         let entry = registry.get(instance);
-        entry.is_none_or(|entry| !is_used(node, entry, &board, &drives))
+        entry.is_none_or(|entry| !is_used(node, entry, &balancer, &drives))
     });
     let idle: Vec<Name> = idle.cloned().collect();
-    idle.iter().for_each(|instance| board.remove(instance));
+    idle.iter().for_each(|instance| balancer.remove(instance));
 }
 
 /// Takes over the engines of models whose jobs this node drives from now on.
 pub fn hold_driven(node: &Arc<EntryNode>) {
     let drives = driven_models(node);
     let registry = node.registry.lock().unwrap();
-    hold_used(node, &registry, &mut node.board.lock().unwrap(), &drives);
+    hold_used(node, &registry, &mut node.balancer.lock().unwrap(), &drives);
 }
 
-fn hold_used(node: &EntryNode, registry: &ServerRegistry, board: &mut ServerBoard, drives: &[Name]) {
+fn hold_used(node: &EntryNode, registry: &ServerRegistry, balancer: &mut LoadBalancer, drives: &[Name]) {
     for entry in registry.entries() {
-        if board.get(&entry.instance).is_none() && is_used(node, entry, board, drives) {
-            board.put(entry);
+        if balancer.get(&entry.instance).is_none() && is_used(node, entry, balancer, drives) {
+            balancer.put(entry);
         }
     }
 }
@@ -245,8 +245,8 @@
         return;
     }
     let registry = node.registry.lock().unwrap();
-    let mut board = node.board.lock().unwrap();
-    if let Some(entry) = registry.get(instance).filter(|_| board.get(instance).is_none()) {
-        board.put(entry);
+    let mut balancer = node.balancer.lock().unwrap();
+    if let Some(entry) = registry.get(instance).filter(|_| balancer.get(instance).is_none()) {
+        balancer.put(entry);
     }
 }
--- a/crates/trestlerackd/src/entry/server_ticket.rs
+++ b/crates/trestlerackd/src/entry/server_ticket.rs
@@ -27,7 +27,7 @@
 impl ServerTicket {
     /// Counts a request in.
     pub fn new(node: &Arc<EntryNode>, server: ServerEntry, fingerprint: RequestFingerprint) -> Self {
-        node.board.lock().unwrap().started(&server.instance);
+        node.balancer.lock().unwrap().started(&server.instance);
         let run = node.suspects.book().sent(node.now(), &server.instance, fingerprint);
         let (is_open, is_shared) = (AtomicBool::new(false), AtomicBool::new(false));
         Self { node: node.clone(), server, fingerprint, run, tokens: None, is_open, is_shared }
@@ -36,7 +36,7 @@
     /// Counts what the request takes in the server's memory too.
     pub fn holding(mut self, tokens: Option<TokenNeed>) -> Self {
         if let Some(tokens) = &tokens {
-            self.node.board.lock().unwrap().memory.take(&self.server.instance, tokens);
+            self.node.balancer.lock().unwrap().memory.add_run(&self.server.instance, tokens);
         }
         self.tokens = tokens;
         self
@@ -68,10 +68,10 @@
 impl Drop for ServerTicket {
     fn drop(&mut self) {
         {
-            let mut board = self.node.board.lock().unwrap();
-            board.ended(&self.server.instance);
+            let mut balancer = self.node.balancer.lock().unwrap();
+            balancer.ended(&self.server.instance);
             if let Some(tokens) = &self.tokens {
-                board.memory.give_back(&self.server.instance, tokens);
+                balancer.memory.remove_run(&self.server.instance, tokens);
             }
         }
         if self.is_open.load(Ordering::Relaxed) {
--- a/crates/trestlerackd/src/entry/status.rs
+++ b/crates/trestlerackd/src/entry/status.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 use std::time::Duration;
 use trestlerack::Name;
-use trestlerack::process::{ServerLine, ShareLine, SuspectLine, SuspectStanding};
+use trestlerack::process::{ServerStatus, ShareLine, SuspectLine, SuspectStanding};
 
 /// Path of the list of customers.
 const CUSTOMERS_PATH: &str = "/v1/customers";
@@ -139,7 +139,7 @@
         source: if node.levels.is_direct() { "store" } else { "follower" },
         followers: node.levels.followers().map(|followers| followers.len()),
         passes_on: node.levels.passes_on(),
-        servers: node.board.lock().unwrap().instances().count(),
+        servers: node.balancer.lock().unwrap().instances().count(),
     }
 }
 
@@ -167,18 +167,18 @@
 }
 
 fn servers(node: &EntryNode) -> Vec<ServerEntryLine> {
-    let lines = node.board.lock().unwrap().server_lines(node.now());
-    let entry = |line: ServerLine| {
-        let told = line.told.as_ref();
+    let lines = node.balancer.lock().unwrap().server_statuses(node.now());
+    let entry = |line: ServerStatus| {
+        let told = line.received.as_ref();
         ServerEntryLine {
-            standing: line.standing.as_str(),
-            expected: rounded(line.expected),
+            standing: line.health.as_str(),
+            expected: rounded(line.expected_slowness),
             sent: line.sent,
-            slowness: rounded(line.own.slowness),
-            failing: rounded(line.own.failing),
+            slowness: rounded(line.measured.slowness),
+            failing: rounded(line.measured.failure_rate),
             told_by: told.map(|told| told.origin.clone()),
-            told_slowness: told.map(|told| rounded(told.figures.slowness)),
-            told_failing: told.map(|told| rounded(told.figures.failing)),
+            told_slowness: told.map(|told| rounded(told.stats.slowness)),
+            told_failing: told.map(|told| rounded(told.stats.failure_rate)),
             told_age_ms: told.map(|told| told.age_ms),
             server: line.instance,
             service: line.service,
--- a/crates/trestlerackd/src/entry/store.rs
+++ b/crates/trestlerackd/src/entry/store.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 use trestlerack::border::{Clock, StoreError};
-use trestlerack::process::{DirectWay, WayChange, rate_pause};
+use trestlerack::process::{AccessChange, DirectAccess, rate_pause};
 use trestlerack::rows::{RowStore, StoreCall, StoreMoment, StoreReply};
 use trestlerack::{Name, event, time::millis};
 use trestlerack_platform as platform;
@@ -101,7 +101,7 @@
     direct: Arc<DirectStore>,
     peers: Arc<PeerClient>,
     /// Whether the direct way is to be used; if not, peers are asked first until a probe succeeds.
-    way: Mutex<DirectWay>,
+    way: Mutex<DirectAccess>,
     time: SystemClock,
     /// Tells that the direct way is in doubt from now on.
     way_lost: Notify,
@@ -144,8 +144,8 @@
     }
 
     /// Returns whether the store does not serve this node, so that peers are asked first.
-    pub fn is_doubtful(&self) -> bool {
-        self.way.lock().unwrap().is_doubtful()
+    pub fn prefers_peers(&self) -> bool {
+        self.way.lock().unwrap().prefers_peers()
     }
 
     /// Returns the time on the store's clock, in milliseconds, or 0 before the first reply.
@@ -159,10 +159,10 @@
         let reply = self.direct.call_within(call, time_limit(call, limit)).await;
         let now = self.time.now();
         let failure = reply.as_ref().err().copied();
-        let change = self.way.lock().unwrap().note(sent_at, now, failure);
+        let change = self.way.lock().unwrap().record_result(sent_at, now, failure);
         match (change, failure) {
-            (Some(WayChange::Regained), _) => logs::write(event::STORE_REGAINED, &[]),
-            (Some(WayChange::Lost), Some(error)) => {
+            (Some(AccessChange::Regained), _) => logs::write(event::STORE_REGAINED, &[]),
+            (Some(AccessChange::Lost), Some(error)) => {
                 let (kind, place) = describe(call);
                 let ms = now.since(sent_at).as_millis();
                 let fields: [(&str, &dyn std::fmt::Display); 4] =
@@ -185,12 +185,12 @@
             limit: 1,
         };
         loop {
-            if !self.is_doubtful() {
+            if !self.prefers_peers() {
                 // The news may come just before this, and is then seen after the pause.
                 let _ = clock::timeout(LOST_INTERVAL, self.way_lost.notified()).await;
             }
             clock::sleep(PROBE_INTERVAL).await;
-            if self.is_doubtful() {
+            if self.prefers_peers() {
                 // The outcome is noted by the call itself.
                 let _ = self.call_direct(&call, DIRECT_TIMEOUT).await;
             }
@@ -238,7 +238,7 @@
 impl RowStore for RelayedStore {
     async fn call(&self, call: &StoreCall) -> Result<StoreReply, StoreError> {
         let has_peers = self.peers.has_any();
-        let reply = if has_peers && self.is_doubtful() {
+        let reply = if has_peers && self.prefers_peers() {
             match self.call_relayed(call).await {
                 Ok(reply) => Ok(reply),
                 Err(StoreError::RateLimited) => Err(StoreError::RateLimited),
@@ -253,7 +253,7 @@
             match self.call_direct(call, limit).await {
                 Ok(reply) => Ok(reply),
                 // Unless the store refuses all calls of this node, peers would be refused as well.
-                Err(StoreError::RateLimited) if !self.is_doubtful() => Err(StoreError::RateLimited),
+                Err(StoreError::RateLimited) if !self.prefers_peers() => Err(StoreError::RateLimited),
                 Err(direct) if has_peers => merge(self.call_relayed(call).await, direct),
                 Err(direct) => Err(direct),
             }
--- a/crates/trestlerackd/src/entry/streams.rs
+++ b/crates/trestlerackd/src/entry/streams.rs
@@ -154,7 +154,7 @@
 
     fn keep_connection(self) {
         suspects::answered(&self.node, &self.open.ticket);
-        self.node.board.lock().unwrap().succeeded(&self.open.ticket.server.instance);
+        self.node.balancer.lock().unwrap().succeeded(&self.open.ticket.server.instance);
         if !self.open.head.is_closing {
             self.node.pool.keep(self.open.lease, self.open.head.idle_limit);
         }
@@ -205,7 +205,7 @@
     /// Goes on at another server after the last whole event, if the route allows it.
     async fn resume(&mut self, why: BrokenReply) -> Result<(), BrokenReply> {
         let instance = self.open.ticket.server.instance.clone();
-        self.node.board.lock().unwrap().failed(self.node.now(), &instance);
+        self.node.balancer.lock().unwrap().failed(self.node.now(), &instance);
         self.trail.attempt_failed(&instance, &why);
         let is_repeated = suspects::is_repeated(&self.node, self.open.ticket.fingerprint);
         if !self.route.resumable || !self.open.status.is_success() || is_repeated {
--- a/crates/trestlerackd/src/entry/suspects/mod.rs
+++ b/crates/trestlerackd/src/entry/suspects/mod.rs
@@ -56,7 +56,7 @@
 pub fn choose_apart(node: &EntryNode, fingerprint: RequestFingerprint, need: &ServerNeed<'_>) -> Option<ServerEntry> {
     let now = node.now();
     let choose =
-        |need: &ServerNeed<'_>| node.board.lock().unwrap().choose(now, need).map(|belief| belief.entry.clone());
+        |need: &ServerNeed<'_>| node.balancer.lock().unwrap().choose(now, need).map(|server| server.entry.clone());
     let (standing, shared) = {
         let book = node.suspects.book();
         (book.standing(now, fingerprint), book.shared_servers(fingerprint))
--- a/crates/trestlerackd/src/entry/urgency.rs
+++ b/crates/trestlerackd/src/entry/urgency.rs
@@ -21,7 +21,7 @@
 ) -> Option<u8> {
     let routing = node.routing()?;
     let allowed = plain::time_limit(route, request.head.time_left);
-    let expected = request.head.tokens.map_or(0, |tokens| tokens.output());
+    let expected = request.head.tokens.map_or(0, |tokens| tokens.expected_output());
     let history = CallHistory {
         // An event has a token at least, so no less is made than this says.
         made: resume_after.filter(|_| expected > 0).map_or(0.0, |events| events as f64 / expected as f64),
--- a/crates/trestlerackd/src/entry/weights.rs
+++ b/crates/trestlerackd/src/entry/weights.rs
@@ -253,8 +253,8 @@
         let assignment = node.weights.assignment(instance);
         assignment.is_none_or(|assignment| assignment.is_open_to(&node.settings.name, clock_ms, handover))
     };
-    let board = node.board.lock().unwrap();
-    let in_flight = |instance: &str| board.get(instance).map_or(0, |belief| belief.in_flight);
+    let balancer = node.balancer.lock().unwrap();
+    let in_flight = |instance: &str| balancer.get(instance).map_or(0, |server| server.in_flight);
     plan.next_orders(node.now(), |instance| is_open(instance).then(|| in_flight(instance)))
 }
 
--- a/crates/trestlerackd/src/request/plain_pool.rs
+++ b/crates/trestlerackd/src/request/plain_pool.rs
@@ -92,6 +92,6 @@
         if let Some(in_flight) = state.in_flight.get_mut(&backend.name) {
             *in_flight = in_flight.saturating_sub(1);
         }
-        state.outliers.record(now, &backend.name, good, count);
+        state.outliers.record_response(now, &backend.name, good, count);
     }
 }
