--- a/crates/trestlerack/src/process/direct_access.rs
+++ b/crates/trestlerack/src/process/direct_access.rs
@@ -4,8 +4,8 @@
 use crate::border::StoreError;
 use std::time::Duration;
 
-/// Rate-limited calls without a success in between from which direct access is in doubt. A store that is only
-/// busy answers some of a node's calls, since rates apply to each partition and to all nodes together.
+/// Consecutive rate-limited calls after which direct access counts as lost. A store that is only busy answers
+/// some of a node's calls, since rates apply to each partition and to all nodes together.
 const MIN_RATE_LIMITED_CALLS: u32 = 5;
 
 /// Time that those calls must span, so that calls sent together do not suffice.
--- a/crates/trestlerack/src/process/engine_memory.rs
+++ b/crates/trestlerack/src/process/engine_memory.rs
@@ -209,8 +209,7 @@
         self.usage.iter().filter(is_full).map(|(instance, usage)| (instance.clone(), usage.tokens)).collect()
     }
 
-    /// Returns whether to log now that an engine is full; if so, the next lines are suppressed for
-    /// [`LOG_INTERVAL`].
+    /// Returns whether to log now that an engine is full, and if so, records the time of the log line.
     pub fn should_log(&mut self, now: Timestamp, instance: &Name) -> bool {
         self.logged_at.retain(|_, logged_at| now.since(*logged_at) < LOG_INTERVAL);
         let is_due = !self.logged_at.contains_key(instance);
--- a/crates/trestlerack/src/process/event_pace.rs
+++ b/crates/trestlerack/src/process/event_pace.rs
@@ -26,8 +26,8 @@
 
 impl EventPace {
     /// Records `count` events that arrived together, with the time on both clocks. Returns no sample for the
-    /// first events, which also include the prefill of the prompt, and none for events that arrive during or
-    /// shortly after a suspension of the VM.
+    /// first events, which also include the prefill of the prompt, and none for events that arrive shortly after
+    /// a suspension of the VM.
     pub fn record_arrival(&mut self, since_boot: Duration, monotonic: Duration, count: usize) -> Option<PaceSample> {
         if self.suspensions.read(since_boot, monotonic).is_some() {
             self.valid_from = since_boot + SETTLE_TIME;
--- a/crates/trestlerack/src/process/fleet_controller.rs
+++ b/crates/trestlerack/src/process/fleet_controller.rs
@@ -13,9 +13,9 @@
 /// Scaling of a service as configured by its operator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScalingConfig {
-    /// Fewest engines in a zone.
+    /// Smallest number of engines in a zone.
     pub min: u32,
-    /// Most engines in a zone.
+    /// Largest number of engines in a zone.
     pub max: u32,
     /// Time from an order until its engines are ready.
     pub boot: Duration,
--- a/crates/trestlerack/src/process/load_balancer.rs
+++ b/crates/trestlerack/src/process/load_balancer.rs
@@ -242,17 +242,17 @@
     /// those that were logged recently.
     pub fn skipped_for_memory(&mut self, now: Timestamp, need: &ServerNeed<'_>) -> Vec<(Name, u64)> {
         let Some(tokens) = need.tokens else { return Vec::new() };
-        let any_slot = ServerNeed { tokens: None, ..need.clone() };
+        let any_memory = ServerNeed { tokens: None, ..need.clone() };
         let is_eligible_otherwise = |instance: &Name| {
             let server = self.servers.get(instance);
             server.is_some_and(|server| {
-                &*server.entry.service == need.service && self.is_eligible(now, server, &any_slot)
+                &*server.entry.service == need.service && self.is_eligible(now, server, &any_memory)
             })
         };
-        let mut left = self.memory.full_engines(now, need.service, tokens);
-        left.retain(|(instance, _)| is_eligible_otherwise(instance));
-        left.retain(|(instance, _)| self.memory.should_log(now, instance));
-        left
+        let mut skipped = self.memory.full_engines(now, need.service, tokens);
+        skipped.retain(|(instance, _)| is_eligible_otherwise(instance));
+        skipped.retain(|(instance, _)| self.memory.should_log(now, instance));
+        skipped
     }
 
     fn is_eligible(&self, now: Timestamp, server: &ServerState, need: &ServerNeed<'_>) -> bool {
@@ -278,17 +278,17 @@
     }
 
     fn cost(&self, now: Timestamp, server: &ServerState, need: &ServerNeed<'_>, median_pace: f64) -> f64 {
-        let fill = f64::from(server.requests(now, self.settings.max_load_age)) / f64::from(server.slots());
+        let utilization = f64::from(server.requests(now, self.settings.max_load_age)) / f64::from(server.slots());
         let remote_zone_cost = if &*server.entry.zone == need.zone { 0.0 } else { self.settings.remote_zone_cost };
         let pace = self.pace_slowness(now, server, median_pace);
-        let Some((model, min_version)) = need.weights else { return fill + remote_zone_cost };
+        let Some((model, min_version)) = need.weights else { return utilization + remote_zone_cost };
         // A request that accepts any version has no reason to spare newer engines.
         let newer_by = match min_version {
             0 => 0,
             _ => server.version(model).map_or(0, |version| version.saturating_sub(min_version)),
         };
-        let fill = if need.is_long { fill * self.settings.long_request_load_cost } else { fill };
-        pace * (1.0 + fill + self.settings.newer_version_cost * newer_by as f64)
+        let utilization = if need.is_long { utilization * self.settings.long_request_load_cost } else { utilization };
+        pace * (1.0 + utilization + self.settings.newer_version_cost * newer_by as f64)
     }
 
     /// Returns what is known of a server at `now`, with its version of `model`.
@@ -302,15 +302,15 @@
             slowness: self.slowness(now, instance),
             expected_slowness: self.expected_slowness(now, server),
             health: self.health(now, instance),
-            reported_by: server.newer_observation(now).map(|told| told.origin.clone()),
+            reported_by: server.newer_observation(now).map(|observation| observation.origin.clone()),
             weight_version: model.and_then(|model| server.version(model)).unwrap_or(0),
         })
     }
 
     /// Returns when the first server of a service can be used; `None` if all are draining or there are none.
     pub fn available_at(&self, service: &str) -> Option<Timestamp> {
-        let open = self.of_service(service).filter(|server| !server.entry.is_draining);
-        open.map(|server| server.paused_until).min()
+        let available = self.of_service(service).filter(|server| !server.entry.is_draining);
+        available.map(|server| server.paused_until).min()
     }
 
     /// Returns the total number of slots of a service.
--- a/crates/trestlerack/src/process/server_observations.rs
+++ b/crates/trestlerack/src/process/server_observations.rs
@@ -27,7 +27,7 @@
 /// number of servers. A node that wrongly reports all servers then removes at most about a third of them.
 const MAX_PEER_DEGRADED_FRACTION: f64 = 1.0 / 3.0;
 
-/// Observations that a node may send per second on average, each to [`GOSSIP_FANOUT`] peers, and in one burst.
+/// Observations that a node may send per second on average, each to [`GOSSIP_FANOUT`] peers, and at once.
 const OBSERVATIONS_PER_SECOND: f64 = 0.6;
 const OBSERVATION_BURST: f64 = 6.0;
 
@@ -230,8 +230,8 @@
         true
     }
 
-    /// Returns the peer observation of a server if it counts: of observations that make servers worse, only the
-    /// worst third of the service does.
+    /// Returns the peer observation of a server unless too many servers are worse. Observations that make servers
+    /// worse count only for the worst third of a service.
     pub(super) fn trusted_observation<'a>(
         &self,
         now: Timestamp,
@@ -246,12 +246,9 @@
         let (mut count, mut worse_count) = (0, 0);
         for other in self.of_service(&server.entry.service) {
             count += 1;
-            let other_received =
-                other.newer_observation(now).filter(|other_received| is_worse_than_default(other_received.stats));
-            worse_count += usize::from(
-                other_received
-                    .is_some_and(|other_received| rank(other_received.stats, &other.entry.instance) > own_rank),
-            );
+            let competing = other.newer_observation(now).filter(|competing| is_worse_than_default(competing.stats));
+            worse_count +=
+                usize::from(competing.is_some_and(|competing| rank(competing.stats, &other.entry.instance) > own_rank));
         }
         (worse_count < (f64::from(count) * MAX_PEER_DEGRADED_FRACTION).round() as usize).then_some(received)
     }
@@ -314,8 +311,8 @@
 impl ServerNote {
     /// Returns the statistics in the observation, or `None` if they are out of range.
     fn stats(&self) -> Option<ServerStats> {
-        let (slowness, failing) = (f64::from(self.slowness), f64::from(self.failing));
-        let is_valid = slowness.is_finite() && slowness > 0.0 && (0.0..=1.0).contains(&failing);
-        is_valid.then_some(ServerStats { slowness, failure_rate: failing })
+        let (slowness, failure_rate) = (f64::from(self.slowness), f64::from(self.failing));
+        let is_valid = slowness.is_finite() && slowness > 0.0 && (0.0..=1.0).contains(&failure_rate);
+        is_valid.then_some(ServerStats { slowness, failure_rate })
     }
 }
--- a/crates/trestlerack/tests/server_health.rs
+++ b/crates/trestlerack/tests/server_health.rs
@@ -52,14 +52,14 @@
     }
 
     /// Sends a call every 10 ms to the server that the node chooses, and returns the share of each server.
-    fn run(&mut self, from_ms: u64, for_ms: u64, mut answer: impl FnMut(u64, usize) -> SimulatedResponse) -> Vec<f64> {
+    fn run(&mut self, from_ms: u64, for_ms: u64, mut respond: impl FnMut(u64, usize) -> SimulatedResponse) -> Vec<f64> {
         let mut counts = vec![0.0; self.servers];
-        let mut open: Vec<(u64, usize, SimulatedResponse)> = Vec::new();
+        let mut in_flight: Vec<(u64, usize, SimulatedResponse)> = Vec::new();
         let calls = for_ms / 10;
         for number in 0..calls {
             let now = from_ms + number * 10;
-            while let Some(at) = open.iter().position(|(end, ..)| *end <= now) {
-                let (end, server, response) = open.swap_remove(at);
+            while let Some(at) = in_flight.iter().position(|(end, ..)| *end <= now) {
+                let (end, server, response) = in_flight.swap_remove(at);
                 self.balancer.ended(&format!("i-{server}"));
                 self.record(end, server, &response);
             }
@@ -70,9 +70,9 @@
             self.balancer.started(&chosen);
             self.balancer.record_load(Timestamp(now), &chosen, 1, 0);
             counts[server] += 1.0 / calls as f64;
-            let response = answer(now, server);
+            let response = respond(now, server);
             let took = if let SimulatedResponse::Took(ms) = response { ms } else { 20 };
-            open.push((now + took, server, response));
+            in_flight.push((now + took, server, response));
         }
         counts
     }
@@ -186,7 +186,7 @@
     }
 }
 
-/// Two servers are slow and three others fail, so that five of six are worse than the best one.
+/// Two servers are slow and three others fail, so that five of six are worse than the median server.
 #[test]
 fn at_least_half_of_a_service_stays_healthy() {
     let mut node = SimulatedNode::new(6);
