--- a/crates/trestlerack/src/process/expected_latency.rs
+++ b/crates/trestlerack/src/process/expected_latency.rs
@@ -68,8 +68,8 @@
 impl MeasuredSlowness {
     /// Returns the statistics, decayed to `now`.
     pub(super) fn stats(&self, now: Timestamp) -> ServerStats {
-        let left = decay(now.since(self.updated_at), SLOWNESS_HALF_LIFE);
-        ServerStats { slowness: 1.0 + (self.factor - 1.0) * left, failure_rate: self.failure_rate * left }
+        let remaining = decay(now.since(self.updated_at), SLOWNESS_HALF_LIFE);
+        ServerStats { slowness: 1.0 + (self.factor - 1.0) * remaining, failure_rate: self.failure_rate * remaining }
     }
 
     fn record_slowness(&mut self, now: Timestamp, factor: f64) {
--- a/crates/trestlerack/tests/engine_memory.rs
+++ b/crates/trestlerack/tests/engine_memory.rs
@@ -119,8 +119,8 @@
     let mut running: Vec<(u64, Name)> = Vec::new();
     for round in 0..200 {
         let now = Timestamp(NOW.0 + 50 * round);
-        let (ended, left) = running.into_iter().partition(|(ends, _)| *ends <= round);
-        running = left;
+        let (ended, remaining) = running.into_iter().partition(|(ends, _)| *ends <= round);
+        running = remaining;
         let ended: Vec<(u64, Name)> = ended;
         ended.iter().for_each(|(_, engine)| balancer.memory.remove_run(engine, &small));
         let need = |tokens| ServerNeed { service: "s", tokens, slot_need: SlotNeed::One, ..ServerNeed::default() };
@@ -197,7 +197,7 @@
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let mut memory = memory_of(10_000);
         let engines: Vec<Name> = ["a", "b", "c"].map(Name::from).to_vec();
-        let mut open: Vec<(Name, TokenNeed)> = Vec::new();
+        let mut running: Vec<(Name, TokenNeed)> = Vec::new();
         for _ in 0..300 {
             if random.random_ratio(1, 2) {
                 let engine = engines[random.random_range(0..engines.len())].clone();
@@ -206,21 +206,21 @@
                     need.shared_prompt = None;
                 }
                 memory.add_run(&engine, &need);
-                open.push((engine, need));
-            } else if !open.is_empty() {
-                open.shuffle(&mut random);
-                let (engine, need) = open.pop().unwrap();
+                running.push((engine, need));
+            } else if !running.is_empty() {
+                running.shuffle(&mut random);
+                let (engine, need) = running.pop().unwrap();
                 memory.remove_run(&engine, &need);
             }
             for engine in &engines {
-                let here = || open.iter().filter(|(at, _)| at == engine).map(|(_, need)| need);
-                let most: u64 = here().map(TokenNeed::total).sum();
-                let least: u64 = here().map(|need| need.unique_prompt + need.max_output).sum();
-                assert!((least..=most).contains(&memory.tokens_at(engine)), "{engine}");
+                let runs_at_engine = || running.iter().filter(|(at, _)| at == engine).map(|(_, need)| need);
+                let max_tokens: u64 = runs_at_engine().map(TokenNeed::total).sum();
+                let min_tokens: u64 = runs_at_engine().map(|need| need.unique_prompt + need.max_output).sum();
+                assert!((min_tokens..=max_tokens).contains(&memory.tokens_at(engine)), "{engine}");
             }
         }
-        open.shuffle(&mut random);
-        open.drain(..).for_each(|(engine, need)| memory.remove_run(&engine, &need));
+        running.shuffle(&mut random);
+        running.drain(..).for_each(|(engine, need)| memory.remove_run(&engine, &need));
         assert!(memory.usage_by_engine().is_empty() && engines.iter().all(|engine| memory.tokens_at(engine) == 0));
     });
 }
--- a/crates/trestlerack/tests/hedging.rs
+++ b/crates/trestlerack/tests/hedging.rs
@@ -31,8 +31,8 @@
     assert_eq!(balancer.second_attempt_after("s", "r", TARGET), None);
 }
 
-/// When the hedge starts, one and a half times the median is left, and a tenth of the target for the response
-/// to arrive.
+/// When the hedge starts, the time until the target is one and a half times the median, plus a tenth of the
+/// target for the response to arrive.
 #[test]
 fn a_hedge_starts_early_enough_to_meet_the_target() {
     for median in [20, 30, 40, 50] {
--- a/crates/trestlerack/tests/server_choice.rs
+++ b/crates/trestlerack/tests/server_choice.rs
@@ -43,9 +43,9 @@
     };
     let weight = |number: usize| rendezvous_weight(key, &entries[number].instance);
     let numbers = 0..entries.len();
-    let least = numbers
+    let lowest = numbers
         .min_by(|left, right| cost(*left).total_cmp(&cost(*right)).then_with(|| weight(*left).cmp(&weight(*right))));
-    entries[least.unwrap()].instance.clone()
+    entries[lowest.unwrap()].instance.clone()
 }
 
 #[test]
--- a/crates/trestlerack/tests/server_health.rs
+++ b/crates/trestlerack/tests/server_health.rs
@@ -191,7 +191,7 @@
 fn at_least_half_of_a_service_stays_healthy() {
     let mut node = SimulatedNode::new(6);
     (0..60).for_each(|step| node.record(1_000 + step, step as usize % 6, &SimulatedResponse::Took(50)));
-    let mut most = 0;
+    let mut max_degraded = 0;
     for step in 0..200 {
         let server = step as usize % 6;
         let response = match server {
@@ -200,9 +200,9 @@
             _ => SimulatedResponse::Failed,
         };
         node.record(1_100 + step * 5, server, &response);
-        most = most.max(node.degraded(1_100 + step * 5).len());
+        max_degraded = max_degraded.max(node.degraded(1_100 + step * 5).len());
     }
-    assert_eq!(most, 3);
+    assert_eq!(max_degraded, 3);
 }
 
 /// Requests that can wait must not fill a degraded server as soon as the others are full.
--- a/crates/trestlerack/tests/server_observations.rs
+++ b/crates/trestlerack/tests/server_observations.rs
@@ -187,10 +187,10 @@
         }
         let others: Vec<Name> = self.names.iter().filter(|name| **name != self.names[node]).cloned().collect();
         for peer in server_gossip_settings().pick_told(&others, &mut self.random) {
-            let news =
+            let message =
                 NodeNews { sender: self.names[node].clone(), servers: observations.to_vec(), ..NodeNews::default() };
             // JSON is not shorter than the wire format.
-            self.bytes[node] += serde_json::to_vec(&news).unwrap().len();
+            self.bytes[node] += serde_json::to_vec(&message).unwrap().len();
             let is_lost = self.random.random_range(0..100) < 5;
             if !is_lost {
                 let at = now_ms + self.random.random_range(2..60);
@@ -206,14 +206,14 @@
 fn relaying_does_not_extend_the_life_of_an_observation() {
     let mut nodes = SimulatedNodes::new(86, 1);
     nodes.balancers[0].merge_observation(Timestamp(10_000), &"n-0".into(), &observation("i-1", "gone", 1, 6.0, 0));
-    let mut most = 0;
+    let mut max_informed = 0;
     for now in (10_000..20_000).step_by(5) {
         nodes.step(now);
-        let believers = nodes.balancers.iter().filter(|balancer| expected_slowness(balancer, now, "i-1") > 2.0).count();
-        most = most.max(believers);
-        assert!(now < 15_000 || believers == 0, "{believers} nodes still use it at {now}");
+        let informed = nodes.balancers.iter().filter(|balancer| expected_slowness(balancer, now, "i-1") > 2.0).count();
+        max_informed = max_informed.max(informed);
+        assert!(now < 15_000 || informed == 0, "{informed} nodes still use it at {now}");
     }
-    assert!(most >= 78, "{most} of 86 nodes received it");
+    assert!(max_informed >= 78, "{max_informed} of 86 nodes received it");
     assert!(nodes.in_flight.is_empty());
 }
 
@@ -234,8 +234,8 @@
         }
         let total: usize = nodes.bytes.iter().sum();
         let mean = total as f64 / count as f64 / 30.0;
-        let most = *nodes.bytes.iter().max().unwrap() as f64 / 30.0;
-        println!("{count} nodes: {mean:.0} bytes per second and node, {most:.0} at the busiest");
-        assert!(most < 512.0, "{count} nodes: {mean:.0} bytes per second and node, {most:.0} at the busiest");
+        let max_bytes = *nodes.bytes.iter().max().unwrap() as f64 / 30.0;
+        println!("{count} nodes: {mean:.0} bytes per second and node, {max_bytes:.0} at the busiest");
+        assert!(max_bytes < 512.0, "{count} nodes: {mean:.0} bytes per second and node, {max_bytes:.0} at the busiest");
     }
 }
