--- a/crates/trestlerack-cli/src/commands.rs
+++ b/crates/trestlerack-cli/src/commands.rs
@@ -130,7 +130,7 @@
     let text = read_file(&words[0])?;
     let plan: ChangePlan = serde_json::from_str(&read_file(&plan_file)?)
         .map_err(|error| CommandError::new(Exit::Usage, format!("{plan_file} is not a plan: {error}")))?;
-    let body = json!({ "file": words[0], "text": text, "made_from": plan.made_from, "digest": plan.digest });
+    let body = json!({ "file": words[0], "text": text, "made_from": plan.base_generation, "digest": plan.digest });
     let value = node_api(options)?.send(Method::POST, "/v1/plans/confirm", &body)?;
     if options.json {
         print_json(&value);
--- a/crates/trestlerack-cli/src/print.rs
+++ b/crates/trestlerack-cli/src/print.rs
@@ -11,7 +11,7 @@
 
 /// Prints what a plan would do.
 pub fn print_plan(plan: &ChangePlan) {
-    println!("scope {}, made from generation {}", plan.scope, plan.made_from);
+    println!("scope {}, made from generation {}", plan.scope, plan.base_generation);
     if plan.effects.is_empty() {
         println!("nothing would change");
     }
--- a/crates/trestlerack/benches/decisions.rs
+++ b/crates/trestlerack/benches/decisions.rs
@@ -17,8 +17,8 @@
     GroupDriver, GroupEvent, GroupSettings, QueuedCall,
 };
 use trestlerack::version::{
-    Backend, BackendKind, ConfigDelta, ConfigFollower, FollowAction, FollowEvent, Item, ItemBody, RolloutEngine,
-    RolloutEvent, RolloutPlanner, RolloutSettings, WeightTarget,
+    Backend, BackendKind, ConfigContent, ConfigDelta, ConfigFollower, ConfigItem, FollowAction, FollowEvent,
+    RolloutEngine, RolloutEvent, RolloutPlanner, RolloutSettings, WeightTarget,
 };
 use trestlerack::{Name, PlaceSet, Timestamp};
 
@@ -171,10 +171,11 @@
         let mut planner = RolloutPlanner::new(RolloutSettings::default());
         let listed = (0..engines).map(|number| RolloutEngine { name: engine_name(number), checks_fencing: true });
         planner.handle(Timestamp(1), RolloutEvent::Engines(listed.collect()));
-        let target = WeightTarget { model: "m".into(), version: 1, fence: 1, serving_percent: 50, quiet_over: true };
+        let target =
+            WeightTarget { model: "m".into(), version: 1, fence: 1, serving_percent: 50, is_handover_complete: true };
         planner.handle(Timestamp(1), RolloutEvent::Target(target));
         group.bench_function(BenchmarkId::from_parameter(engines), |bench| {
-            let event = RolloutEvent::Held { engine: engine_name(1), version: 1 };
+            let event = RolloutEvent::VersionReported { engine: engine_name(1), version: 1 };
             bench.iter(|| black_box(planner.handle(Timestamp(2), event.clone())));
         });
     }
@@ -256,7 +257,7 @@
     }
 }
 
-fn item(number: usize, slots: u32) -> (Name, Arc<Item>) {
+fn item(number: usize, slots: u32) -> (Name, Arc<ConfigItem>) {
     let backend = Backend {
         name: engine_name(number),
         kind: BackendKind::Engine,
@@ -267,10 +268,10 @@
         checks_fencing: true,
         idempotent: false,
         honours_keys: false,
-        leaving: false,
+        is_draining: false,
     };
-    let body = ItemBody::Backend(backend);
-    (body.key(), Arc::new(Item { scope: "scope".into(), body }))
+    let body = ConfigContent::Backend(backend);
+    (body.key(), Arc::new(ConfigItem { scope: "scope".into(), body }))
 }
 
 fn configuration_change(criterion: &mut Criterion) {
--- a/crates/trestlerack/src/process/engine_priority.rs
+++ b/crates/trestlerack/src/process/engine_priority.rs
@@ -50,12 +50,12 @@
     /// to the service. The priority of a route counts if callers without a priority of their own may use it.
     pub fn of(routing: &RoutingTable, service: &str) -> Option<Self> {
         let customers = routing.customers.as_ref();
-        let has_default = customers.is_none_or(|directory| directory.ranks().any(|priority| priority.is_none()));
+        let has_default = customers.is_none_or(|directory| directory.priorities().any(|priority| priority.is_none()));
         let leads_there = |shares: &[crate::version::SplitShare]| shares.iter().any(|share| &*share.service == service);
         let mut range: Option<Self> = None;
         for route in routing.routes().filter(|route| leads_there(&route.shares)) {
             let of_route = (has_default || route.is_public).then_some(route.priority);
-            let of_customers = customers.into_iter().flat_map(|directory| directory.ranks().flatten());
+            let of_customers = customers.into_iter().flat_map(|directory| directory.priorities().flatten());
             for priority in of_route.into_iter().chain(of_customers) {
                 let priority = priority.min(LEAST_URGENT);
                 let known = range.unwrap_or(Self { most_urgent: priority, least_urgent: priority });
--- a/crates/trestlerack/src/version/config_store.rs
+++ b/crates/trestlerack/src/version/config_store.rs
@@ -1,4 +1,4 @@
-//! Generations of the configuration in the platform's stores.
+//! Stores the generations of the configuration in the table service and the object store.
 
 use super::{ConfigDelta, ConfigFollower, Configuration, Declaration, FollowEvent, plan_change};
 use crate::Name;
@@ -9,11 +9,11 @@
 /// Key of the row that names the newest generation.
 const HEAD_KEY: &str = "config/head";
 
-/// Generations between two snapshots.
-const SNAPSHOT_EVERY: u64 = 64;
+/// Number of generations from one snapshot to the next.
+const SNAPSHOT_INTERVAL: u64 = 64;
 
-/// Deltas read from the table in one scan.
-const SCAN_LIMIT: usize = 256;
+/// Largest number of deltas read from the table in one scan.
+const MAX_SCAN_ROWS: usize = 256;
 
 /// The row that names the newest generation and the newest snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -22,39 +22,39 @@
     pub generation: u64,
     /// Generation of the newest snapshot.
     pub snapshot_generation: u64,
-    /// Object with the newest snapshot; empty before the first one.
+    /// Key of the object with the newest snapshot; empty before the first one.
     pub snapshot: Name,
 }
 
-/// How one try at committing a plan ended.
+/// The result of one attempt to commit a plan.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CommitTry {
-    /// The delta is the next generation.
+pub enum PlanCommit {
+    /// The delta was committed as the next generation.
     Committed(ConfigDelta),
     /// The plan changes nothing.
     Unchanged,
-    /// The scope changed since the plan was made; another intent came between.
-    OutOfDate,
-    /// Another scope was committed first; catch up and try again.
+    /// Another change of the same scope was committed after the plan was made.
+    Outdated,
+    /// A newer generation exists; the caller must catch up and try again.
     Behind,
-    /// The declaration cannot be planned.
+    /// No plan can be made from the declaration, for this reason.
     Invalid(Name),
 }
 
-/// What an operator confirms.
+/// An operator's confirmation of a plan.
 #[derive(Clone, Debug)]
-pub struct Confirmation<'a> {
-    /// The declaration.
+pub struct PlanConfirmation<'a> {
+    /// The declaration that was planned.
     pub declaration: &'a Declaration,
     /// Generation at which the scope last changed when the plan was made.
-    pub made_from: u64,
+    pub base_generation: u64,
     /// Digest of the plan.
     pub digest: &'a str,
-    /// Id of the confirmation.
+    /// Id of the confirmation, by which its own commit is recognised.
     pub operation: Name,
 }
 
-/// The configuration in the table service and the object store.
+/// Reads and commits the configuration in the table service and the object store.
 #[derive(Clone, Copy)]
 pub struct ConfigStore<'a> {
     table: &'a dyn TableStore,
@@ -66,17 +66,18 @@
 }
 
 impl<'a> ConfigStore<'a> {
-    /// Builds the store over the platform's services.
+    /// Builds the store on a table service and an object store.
     pub fn new(table: &'a dyn TableStore, objects: &'a dyn ObjectStore) -> Self {
         Self { table, objects }
     }
 
-    /// Returns what a node at `held` lacks, to be fed to its follower in this order.
-    pub async fn missing(&self, held: u64) -> Result<Vec<FollowEvent>, StoreError> {
+    /// Returns the events that bring a follower from `generation` to the newest generation, in the order in
+    /// which it must handle them.
+    pub async fn events_after(&self, generation: u64) -> Result<Vec<FollowEvent>, StoreError> {
         let (_, head) = self.read_head().await?;
         let mut events = Vec::new();
-        let mut after = held;
-        if head.snapshot_generation > held && !head.snapshot.is_empty() {
+        let mut after = generation;
+        if head.snapshot_generation > generation && !head.snapshot.is_empty() {
             let content = self.objects.get(&head.snapshot).await?;
             let snapshot: Option<Configuration> = content.and_then(|content| serde_json::from_slice(&content).ok());
             if let Some(snapshot) = snapshot {
@@ -85,7 +86,7 @@
             }
         }
         while after < head.generation {
-            let rows = self.table.scan("config/change/", &change_key(after), SCAN_LIMIT).await?;
+            let rows = self.table.scan("config/change/", &change_key(after), MAX_SCAN_ROWS).await?;
             let deltas: Vec<ConfigDelta> =
                 rows.into_iter().filter_map(|row| serde_json::from_value(row.value).ok()).collect();
             let Some(last) = deltas.last() else { break };
@@ -95,28 +96,28 @@
         Ok(events)
     }
 
-    /// Tries to commit a confirmed plan on top of `held`.
+    /// Tries to commit a confirmed plan as the generation after `current`.
     pub async fn try_commit(
         &self,
-        held: &Configuration,
-        confirmation: &Confirmation<'_>,
-    ) -> Result<CommitTry, StoreError> {
+        current: &Configuration,
+        confirmation: &PlanConfirmation<'_>,
+    ) -> Result<PlanCommit, StoreError> {
         let (row, head) = self.read_head().await?;
-        if head.generation != held.generation {
-            return Ok(CommitTry::Behind);
+        if head.generation != current.generation {
+            return Ok(PlanCommit::Behind);
         }
-        let plan = match plan_change(held, confirmation.declaration) {
+        let plan = match plan_change(current, confirmation.declaration) {
             Ok(plan) => plan,
-            Err(error) => return Ok(CommitTry::Invalid(error.to_string().into())),
+            Err(error) => return Ok(PlanCommit::Invalid(error.to_string().into())),
         };
-        if plan.made_from != confirmation.made_from || plan.digest.as_ref() != confirmation.digest {
-            return Ok(CommitTry::OutOfDate);
+        if plan.base_generation != confirmation.base_generation || plan.digest.as_ref() != confirmation.digest {
+            return Ok(PlanCommit::Outdated);
         }
         if plan.changes.is_empty() {
-            return Ok(CommitTry::Unchanged);
+            return Ok(PlanCommit::Unchanged);
         }
         let delta = plan.into_delta(head.generation + 1, confirmation.operation.clone());
-        let next = self.next_head(held, &head, &delta).await;
+        let next = self.next_head(current, &head, &delta).await;
         let key = change_key(delta.generation);
         let transaction = TableTransaction::default()
             .expect(HEAD_KEY, TableTransaction::expectation_of(row.as_ref()))
@@ -124,29 +125,29 @@
             .put(HEAD_KEY, serde_json::to_value(&next).expect("a head row always encodes"))
             .put(&key, serde_json::to_value(&delta).expect("a delta always encodes"));
         match self.table.commit(transaction).await {
-            Ok(CommitOutcome::Committed) => Ok(CommitTry::Committed(delta)),
-            Ok(CommitOutcome::Conflict) => Ok(CommitTry::Behind),
-            Err(StoreError::Unknown) => self.settle(delta).await,
+            Ok(CommitOutcome::Committed) => Ok(PlanCommit::Committed(delta)),
+            Ok(CommitOutcome::Conflict) => Ok(PlanCommit::Behind),
+            Err(StoreError::Unknown) => self.resolve_unknown_commit(delta).await,
             Err(error) => Err(error),
         }
     }
 
-    /// Settles a commit whose answer was lost by reading back under the operation's own id. A row
-    /// that is still absent proves nothing, since the write may be under way.
-    async fn settle(&self, delta: ConfigDelta) -> Result<CommitTry, StoreError> {
+    /// Finds out whether a commit took effect whose response was lost, by comparing the operation id of the
+    /// stored row. If the row is absent, the result stays unknown, since the write may still be in progress.
+    async fn resolve_unknown_commit(&self, delta: ConfigDelta) -> Result<PlanCommit, StoreError> {
         let row = self.table.read(&change_key(delta.generation)).await.map_err(|_| StoreError::Unknown)?;
-        let held: Option<ConfigDelta> = row.and_then(|row| serde_json::from_value(row.value).ok());
-        match held {
-            Some(held) if held.operation == delta.operation => Ok(CommitTry::Committed(delta)),
-            Some(_) => Ok(CommitTry::Behind),
+        let stored: Option<ConfigDelta> = row.and_then(|row| serde_json::from_value(row.value).ok());
+        match stored {
+            Some(stored) if stored.operation == delta.operation => Ok(PlanCommit::Committed(delta)),
+            Some(_) => Ok(PlanCommit::Behind),
             None => Err(StoreError::Unknown),
         }
     }
 
-    /// Brings a follower up to date.
+    /// Brings a follower to the newest generation.
     pub async fn catch_up(&self, follower: &mut ConfigFollower) -> Result<(), StoreError> {
-        for event in self.missing(follower.current().generation).await? {
-            // The caller looks at the generation in force, not at each step on the way to it.
+        for event in self.events_after(follower.current().generation).await? {
+            // The returned actions are not needed, since the caller reads the resulting generation.
             let _ = follower.handle(event);
         }
         Ok(())
@@ -159,11 +160,12 @@
         Ok((row, head.unwrap_or_default()))
     }
 
-    /// Writes a snapshot now and then, so that a starting node need not read every delta.
-    async fn next_head(&self, held: &Configuration, head: &ConfigHead, delta: &ConfigDelta) -> ConfigHead {
+    /// Returns the next head row. Writes a snapshot at every `SNAPSHOT_INTERVAL`-th generation, so that a
+    /// starting node need not read every delta.
+    async fn next_head(&self, current: &Configuration, head: &ConfigHead, delta: &ConfigDelta) -> ConfigHead {
         let next = ConfigHead { generation: delta.generation, ..head.clone() };
-        let mut snapshot = held.clone();
-        if !delta.generation.is_multiple_of(SNAPSHOT_EVERY) || !snapshot.apply(delta) {
+        let mut snapshot = current.clone();
+        if !delta.generation.is_multiple_of(SNAPSHOT_INTERVAL) || !snapshot.apply(delta) {
             return next;
         }
         let content = serde_json::to_vec(&snapshot).expect("a configuration always encodes");
--- a/crates/trestlerack/src/version/configuration.rs
+++ b/crates/trestlerack/src/version/configuration.rs
@@ -1,4 +1,4 @@
-//! Generations of the configuration: a set of items that only ever moves forward.
+//! Generations of the configuration: a set of items with a number that only increases.
 
 use super::{Backend, BackendKind, Campaign, User, Zone};
 use crate::Name;
@@ -9,7 +9,7 @@
 /// The content of one configuration item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum ItemBody {
+pub enum ConfigContent {
     /// An availability zone.
     Zone(Zone),
     /// A backend server.
@@ -20,7 +20,7 @@
     Campaign(Campaign),
 }
 
-impl ItemBody {
+impl ConfigContent {
     /// Returns the key of the item: its kind and its name.
     pub fn key(&self) -> Name {
         let (kind, name) = match self {
@@ -35,24 +35,24 @@
 
 /// A configuration item and the scope that declared it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Item {
+pub struct ConfigItem {
     /// Scope that owns the item.
     pub scope: Name,
     /// Content of the item.
-    pub body: ItemBody,
+    pub body: ConfigContent,
 }
 
-/// The difference between one generation and the next.
+/// The changes from one generation to the next.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigDelta {
-    /// The generation that this delta leads to; it applies to the one before only.
+    /// The generation that this delta produces; it applies only to the generation directly before.
     pub generation: u64,
     /// Scope that was changed.
     pub scope: Name,
-    /// Id of the confirmation that committed it, for settling a lost answer.
+    /// Id of the confirmation that committed it, by which a commit is recognised whose response was lost.
     pub operation: Name,
     /// New content by key; `None` removes the item.
-    pub changes: Vec<(Name, Option<Arc<Item>>)>,
+    pub changes: Vec<(Name, Option<Arc<ConfigItem>>)>,
 }
 
 /// One generation of the configuration.
@@ -60,14 +60,15 @@
 pub struct Configuration {
     /// Number of the generation; 0 is the empty configuration.
     pub generation: u64,
-    /// Items by key, shared between the generations that hold them unchanged.
-    pub items: BTreeMap<Name, Arc<Item>>,
+    /// Items by key. Generations share the items that are the same in both.
+    pub items: BTreeMap<Name, Arc<ConfigItem>>,
     /// Generation at which each scope last changed.
     pub scopes: BTreeMap<Name, u64>,
 }
 
 impl Configuration {
-    /// Applies the next generation, or returns `false` and leaves everything as it was.
+    /// Applies a delta to the next generation and returns whether it fits. A delta that does not directly
+    /// follow this generation changes nothing.
     #[must_use]
     pub fn apply(&mut self, delta: &ConfigDelta) -> bool {
         if delta.generation != self.generation + 1 {
@@ -91,62 +92,62 @@
 
     /// Returns the campaign called `name`.
     pub fn campaign(&self, name: &str) -> Option<&Campaign> {
-        match self.body(&format!("campaign/{name}")) {
-            Some(ItemBody::Campaign(campaign)) => Some(campaign),
+        match self.content(&format!("campaign/{name}")) {
+            Some(ConfigContent::Campaign(campaign)) => Some(campaign),
             _ => None,
         }
     }
 
     /// Returns the user called `name`.
     pub fn user(&self, name: &str) -> Option<&User> {
-        match self.body(&format!("user/{name}")) {
-            Some(ItemBody::User(user)) => Some(user),
+        match self.content(&format!("user/{name}")) {
+            Some(ConfigContent::User(user)) => Some(user),
             _ => None,
         }
     }
 
     /// Returns the region of the zone called `name`.
     pub fn region(&self, name: &str) -> Option<&Name> {
-        match self.body(&format!("zone/{name}")) {
-            Some(ItemBody::Zone(zone)) => Some(&zone.region),
+        match self.content(&format!("zone/{name}")) {
+            Some(ConfigContent::Zone(zone)) => Some(&zone.region),
             _ => None,
         }
     }
 
     /// Returns the campaigns in name order.
     pub fn campaigns(&self) -> impl Iterator<Item = &Campaign> {
-        self.section("campaign/").filter_map(|item| match &item.body {
-            ItemBody::Campaign(campaign) => Some(campaign),
+        self.items_with_prefix("campaign/").filter_map(|item| match &item.body {
+            ConfigContent::Campaign(campaign) => Some(campaign),
             _ => None,
         })
     }
 
     /// Returns the backend servers in name order.
     pub fn backends(&self) -> impl Iterator<Item = &Backend> {
-        self.section("backend/").filter_map(|item| match &item.body {
-            ItemBody::Backend(backend) => Some(backend),
+        self.items_with_prefix("backend/").filter_map(|item| match &item.body {
+            ConfigContent::Backend(backend) => Some(backend),
             _ => None,
         })
     }
 
     /// Returns the backend servers of one kind and service in name order.
-    pub fn serving<'a>(&'a self, kind: BackendKind, service: &'a str) -> impl Iterator<Item = &'a Backend> {
+    pub fn backends_of<'a>(&'a self, kind: BackendKind, service: &'a str) -> impl Iterator<Item = &'a Backend> {
         self.backends().filter(move |backend| backend.kind == kind && backend.service.as_ref() == service)
     }
 
     /// Returns the backend server called `name`.
     pub fn backend(&self, name: &str) -> Option<&Backend> {
-        match self.body(&format!("backend/{name}")) {
-            Some(ItemBody::Backend(backend)) => Some(backend),
+        match self.content(&format!("backend/{name}")) {
+            Some(ConfigContent::Backend(backend)) => Some(backend),
             _ => None,
         }
     }
 
-    fn body(&self, key: &str) -> Option<&ItemBody> {
+    fn content(&self, key: &str) -> Option<&ConfigContent> {
         self.items.get(key).map(|item| &item.body)
     }
 
-    fn section<'a>(&'a self, prefix: &'static str) -> impl Iterator<Item = &'a Item> {
+    fn items_with_prefix<'a>(&'a self, prefix: &'static str) -> impl Iterator<Item = &'a ConfigItem> {
         let first: Name = prefix.into();
         let rest = self.items.range(first..);
         rest.take_while(move |(key, _)| key.starts_with(prefix)).map(|(_, item)| item.as_ref())
--- a/crates/trestlerack/src/version/customers.rs
+++ b/crates/trestlerack/src/version/customers.rs
@@ -1,7 +1,7 @@
-//! Customers of a configuration, and who a caller's key belongs to.
+//! Customers of a configuration and their keys.
 //!
-//! Keys are secrets. Only their digests stay in memory, so that neither a log line nor a memory
-//! dump gives one away; see [docs/PLATFORM.md](../../../../docs/PLATFORM.md#customers).
+//! Keys are secrets. Only their digests stay in memory, so that neither a log line nor a memory dump reveals a
+//! key; see [docs/PLATFORM.md](../../../../docs/PLATFORM.md#customers).
 
 use crate::{Name, Timestamp};
 use secrecy::{ExposeSecret, SecretString};
@@ -9,7 +9,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// A key as a caller or a configuration states it. It cannot be printed.
+/// A key in plain text, from a caller or a configuration. Its text is never printed.
 #[derive(Clone, Debug)]
 pub struct CustomerKey(SecretString);
 
@@ -29,8 +29,8 @@
     }
 }
 
-/// SHA-256 of a key. Looking keys up by digest makes the time of a look-up say nothing about the
-/// characters of a key.
+/// SHA-256 digest of a key. Keys are looked up by digest, so that the time of a look-up reveals nothing about
+/// the characters of a key.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KeyDigest([u8; 32]);
 
@@ -40,25 +40,25 @@
     }
 }
 
-/// What a caller shows to say for which customer it acts.
+/// The credential that a caller presents.
 #[derive(Clone, Debug)]
 pub enum CallerCredential {
-    /// Nothing.
+    /// The caller presents none.
     Missing,
-    /// Something that has not the form of a key.
+    /// The credential does not have the form of a key.
     Malformed,
-    /// A key, which may be unknown.
+    /// A key, which may belong to no customer.
     Key(CustomerKey),
 }
 
 /// A customer of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Customer {
-    /// Name, which backend servers are told.
+    /// Name, which is passed to backend servers.
     pub name: Name,
-    /// Rank of the customer's requests, from 0 (first); goes before that of a route.
+    /// Priority of the customer's requests, of which 0 is served first; it overrides that of a route.
     pub priority: Option<u8>,
-    /// Weight of its share where a service has too little room.
+    /// Weight of the customer's share of a service that is overloaded.
     pub weight: u32,
 }
 
@@ -68,7 +68,7 @@
     }
 }
 
-/// The customers of one configuration by their keys.
+/// The customers of one configuration, which are looked up by key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CustomerDirectory {
     customers: Vec<Customer>,
@@ -76,7 +76,7 @@
 }
 
 impl CustomerDirectory {
-    /// Adds a customer with its keys. An empty key belongs to nobody.
+    /// Adds a customer with its keys. Empty keys are ignored.
     pub fn add(&mut self, customer: Customer, keys: &[CustomerKey]) {
         let index = self.customers.len();
         let digests = keys.iter().filter(|key| !key.is_empty()).map(CustomerKey::digest);
@@ -84,9 +84,9 @@
         self.customers.push(customer);
     }
 
-    /// Returns the customer that holds a key.
-    pub fn holder(&self, credential: &CallerCredential) -> Option<&Customer> {
-        // Credentials without a key take the same way, so that they take the same time.
+    /// Returns the customer to whom a credential belongs.
+    pub fn find(&self, credential: &CallerCredential) -> Option<&Customer> {
+        // A credential without a key is looked up too, so that it takes the same time.
         let digest = match credential {
             CallerCredential::Key(key) => key.digest(),
             CallerCredential::Missing | CallerCredential::Malformed => CustomerKey::new("").digest(),
@@ -94,14 +94,14 @@
         self.by_key.get(&digest).map(|index| &self.customers[*index])
     }
 
-    /// Returns all customers with how many keys each holds.
+    /// Returns all customers, each with the number of its keys.
     pub fn iter(&self) -> impl Iterator<Item = (&Customer, usize)> {
-        let keys = |index: usize| self.by_key.values().filter(|holder| **holder == index).count();
-        self.customers.iter().enumerate().map(move |(index, customer)| (customer, keys(index)))
+        let key_count = |index: usize| self.by_key.values().filter(|owner| **owner == index).count();
+        self.customers.iter().enumerate().map(move |(index, customer)| (customer, key_count(index)))
     }
 
-    /// Returns the ranks of all customers, `None` for those without one of their own.
-    pub fn ranks(&self) -> impl Iterator<Item = Option<u8>> {
+    /// Returns the priorities of all customers, `None` for customers without their own.
+    pub fn priorities(&self) -> impl Iterator<Item = Option<u8>> {
         self.customers.iter().map(|customer| customer.priority)
     }
 
@@ -111,40 +111,40 @@
     }
 }
 
-/// Who a request is served for.
+/// The identity for which a request is served.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CallerVerdict {
-    /// Everybody is served, because the configuration has no customers.
-    Open,
-    /// Nobody in particular, on a route that is open to all.
+pub enum CallerIdentity {
+    /// The configuration has no customers, so every caller is served.
+    Unrestricted,
+    /// A caller without a key on a public route.
     Anonymous,
     /// A customer.
     Customer(Customer),
-    /// No customer holds what the caller shows.
+    /// The credential is missing where it is required, or belongs to no customer.
     Unknown,
 }
 
-impl CallerVerdict {
-    /// Judges a credential by the customers of a configuration.
-    pub fn judge(customers: Option<&CustomerDirectory>, is_public: bool, credential: &CallerCredential) -> Self {
-        let Some(directory) = customers else { return Self::Open };
-        match (directory.holder(credential), credential) {
+impl CallerIdentity {
+    /// Identifies a caller by the customers of a configuration.
+    pub fn identify(customers: Option<&CustomerDirectory>, is_public: bool, credential: &CallerCredential) -> Self {
+        let Some(directory) = customers else { return Self::Unrestricted };
+        match (directory.find(credential), credential) {
             (Some(customer), _) => Self::Customer(customer.clone()),
             (None, CallerCredential::Missing) if is_public => Self::Anonymous,
             (None, _) => Self::Unknown,
         }
     }
 
-    /// Returns the customer that is served.
+    /// Returns the identified customer.
     pub fn customer(&self) -> Option<&Customer> {
         if let Self::Customer(customer) = self { Some(customer) } else { None }
     }
 
-    /// Returns whether what belongs to `owner` may be seen and changed. A job belongs to its
-    /// customer and not to a key, so any key of the customer does.
-    pub fn may_see(&self, owner: Option<&Name>) -> bool {
+    /// Returns whether the caller may read and change what belongs to `owner`. A job belongs to a customer and
+    /// not to a key, so any key of that customer gives access.
+    pub fn may_access(&self, owner: Option<&Name>) -> bool {
         match (self, owner) {
-            (Self::Open, _) => true,
+            (Self::Unrestricted, _) => true,
             (Self::Unknown, _) => false,
             (Self::Customer(customer), Some(owner)) => customer.name == *owner,
             (Self::Anonymous, Some(_)) => false,
@@ -153,29 +153,29 @@
     }
 }
 
-/// Bounds how often a node reads the configuration again because of a key that it does not know.
+/// Limits how often a node reads the configuration again because of unknown keys.
 ///
-/// Such a key may be newer than what the node holds, so it is worth one read before the caller is
-/// denied. Callers that come between two reads are judged by the last one: a storm of bad keys at
-/// every node costs the store one read for each node and interval, and a new key is at most one
-/// interval late, which a watch of the store makes up for.
+/// An unknown key may be newer than the node's configuration, so the node reads the configuration once before
+/// it denies the caller. Callers that arrive between two reads are identified by the last one. So many unknown
+/// keys at every node cost the store one read for each node and interval, and a new key is recognised at most
+/// one interval late, or earlier if the node's watch of the store reports it.
 #[derive(Debug)]
-pub struct RefreshGate {
+pub struct RefreshLimiter {
     interval: Duration,
-    started_at: Option<Timestamp>,
+    last_started_at: Option<Timestamp>,
 }
 
-impl RefreshGate {
-    /// Builds a gate that opens once in `interval`.
+impl RefreshLimiter {
+    /// Builds a limiter that allows one read in each `interval`.
     pub fn new(interval: Duration) -> Self {
-        Self { interval, started_at: None }
+        Self { interval, last_started_at: None }
     }
 
-    /// Returns whether a read is to be made now.
+    /// Returns whether the caller must start a read now, and counts it as started if so.
     pub fn try_start(&mut self, now: Timestamp) -> bool {
-        let is_due = self.started_at.is_none_or(|started| now.since(started) >= self.interval);
+        let is_due = self.last_started_at.is_none_or(|started| now.since(started) >= self.interval);
         if is_due {
-            self.started_at = Some(now);
+            self.last_started_at = Some(now);
         }
         is_due
     }
--- a/crates/trestlerack/src/version/declaration.rs
+++ b/crates/trestlerack/src/version/declaration.rs
@@ -1,6 +1,6 @@
-//! Declarations: what operators keep in version control and hand in to be planned.
+//! Declarations: documents in which operators declare zones, backend servers, users and campaigns.
 
-use super::{Item, ItemBody, StalenessRule};
+use super::{ConfigContent, ConfigItem, StalenessRule};
 use crate::schema::{CheckedDocument, DocumentFault, FieldKind, FieldSpec, check_document};
 use crate::{Name, PlaceSet};
 use serde::{Deserialize, Serialize};
@@ -15,7 +15,7 @@
     pub region: Name,
 }
 
-/// What a backend server does.
+/// The function of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum BackendKind {
@@ -32,29 +32,29 @@
 pub struct Backend {
     /// Name of the backend server.
     pub name: Name,
-    /// What it does.
+    /// What the server does.
     pub kind: BackendKind,
     /// Availability zone that it runs in.
     pub zone: Name,
     /// Address that it listens on, as `ip:port`.
     pub address: Name,
-    /// Model that an engine serves, or service that the others belong to.
+    /// Model that an engine serves; for other kinds, the service that the server belongs to.
     pub service: Name,
-    /// Requests that it works on at the same time.
+    /// Number of requests that it processes at the same time.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Whether it refuses an order that carries an old fencing number.
+    /// Whether it rejects an order with an old fencing token.
     #[serde(default)]
     pub checks_fencing: bool,
-    /// Whether its calls may be repeated.
+    /// Whether a call to it may be executed more than once.
     #[serde(default)]
     pub idempotent: bool,
-    /// Whether it honours idempotency keys by itself.
+    /// Whether the server itself executes calls with the same idempotency key at most once.
     #[serde(default)]
     pub honours_keys: bool,
-    /// Whether an operator has ordered it to be left alone.
-    #[serde(default)]
-    pub leaving: bool,
+    /// Whether it receives no new work.
+    #[serde(default, rename = "leaving")]
+    pub is_draining: bool,
 }
 
 fn default_slots() -> u32 {
@@ -66,11 +66,12 @@
 pub struct User {
     /// Name of the user.
     pub name: Name,
-    /// Calls per second over all nodes together.
+    /// Largest number of calls per second, over all nodes.
     #[serde(default = "default_rate")]
     pub calls_per_second: u32,
     /// Availability zones in which the user's own calls may run.
-    pub places: PlaceSet,
+    #[serde(rename = "places")]
+    pub allowed_zones: PlaceSet,
 }
 
 fn default_rate() -> u32 {
@@ -84,12 +85,13 @@
     pub name: Name,
     /// User whose trainers may submit steps.
     pub user: Name,
-    /// Model whose engines make the samples.
+    /// Model whose engines generate the samples.
     pub model: Name,
-    /// Scoring service.
+    /// Service that scores the samples.
     pub scoring: Name,
-    /// Availability zones in which samples are made, scored and kept.
-    pub places: PlaceSet,
+    /// Availability zones in which samples are generated, scored and stored.
+    #[serde(rename = "places")]
+    pub allowed_zones: PlaceSet,
     /// Largest accepted sample age in weight versions.
     pub max_staleness_versions: u64,
     /// Largest accepted sample age in seconds; 0 sets no bound.
@@ -98,7 +100,7 @@
     /// Share of engine time relative to other campaigns.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// Tokens generated for a sample at most.
+    /// Largest number of tokens of a sample.
     #[serde(default = "default_max_tokens")]
     pub max_tokens: u32,
     /// Smallest share of the model's engines that keeps serving during a swap, in percent.
@@ -129,9 +131,9 @@
 /// Everything that one scope declares.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Declaration {
-    /// Owner of the declared items; items of other scopes are left alone.
+    /// Scope that owns the declared items; items of other scopes are not changed.
     pub scope: Name,
-    /// Zones.
+    /// Availability zones.
     #[serde(default)]
     pub zones: Vec<Zone>,
     /// Backend servers.
@@ -147,17 +149,18 @@
 
 impl Declaration {
     /// Returns the declared items by key.
-    pub fn items(&self) -> BTreeMap<Name, Item> {
-        let zones = self.zones.iter().cloned().map(ItemBody::Zone);
-        let backends = self.backends.iter().cloned().map(ItemBody::Backend);
-        let users = self.users.iter().cloned().map(ItemBody::User);
-        let campaigns = self.campaigns.iter().cloned().map(ItemBody::Campaign);
+    pub fn items(&self) -> BTreeMap<Name, ConfigItem> {
+        let zones = self.zones.iter().cloned().map(ConfigContent::Zone);
+        let backends = self.backends.iter().cloned().map(ConfigContent::Backend);
+        let users = self.users.iter().cloned().map(ConfigContent::User);
+        let campaigns = self.campaigns.iter().cloned().map(ConfigContent::Campaign);
         let bodies = zones.chain(backends).chain(users).chain(campaigns);
-        bodies.map(|body| (body.key(), Item { scope: self.scope.clone(), body })).collect()
+        bodies.map(|body| (body.key(), ConfigItem { scope: self.scope.clone(), body })).collect()
     }
 }
 
-const MAX_COUNT: u64 = 1_000_000_000;
+/// Largest staleness bound that a campaign may set, in seconds.
+const MAX_STALENESS_SECONDS: u64 = 1_000_000_000;
 
 const fn text(name: &'static str, meaning: &'static str) -> FieldSpec {
     FieldSpec { name, kind: FieldKind::Text, default: None, meaning }
@@ -189,17 +192,17 @@
     },
     text("zone", "Availability zone that it runs in; must be declared."),
     FieldSpec { name: "address", kind: FieldKind::Address, default: None, meaning: "Address that it listens on." },
-    text("service", "Model that an engine serves, or service that the others belong to."),
-    count("slots", (1, 4_096), Some("4"), "Requests that it works on at the same time."),
-    flag("checks_fencing", "Whether it refuses an order with an old fencing number."),
-    flag("idempotent", "Whether its calls may be repeated."),
-    flag("honours_keys", "Whether it honours idempotency keys by itself."),
+    text("service", "Model that an engine serves; for other kinds, the service that the server belongs to."),
+    count("slots", (1, 4_096), Some("4"), "Number of requests that it processes at the same time."),
+    flag("checks_fencing", "Whether it rejects an order with an old fencing token."),
+    flag("idempotent", "Whether a call to it may be executed more than once."),
+    flag("honours_keys", "Whether the server itself executes calls with the same idempotency key at most once."),
     flag("leaving", "Whether it receives no new work."),
 ];
 
 const USER_FIELDS: &[FieldSpec] = &[
     text("name", "Name of the user, as in the callers' key file."),
-    count("calls_per_second", (1, 1_000_000), Some("1000"), "Calls per second over all nodes."),
+    count("calls_per_second", (1, 1_000_000), Some("1000"), "Largest number of calls per second, over all nodes."),
     FieldSpec {
         name: "places",
         kind: FieldKind::TextList,
@@ -211,24 +214,34 @@
 const CAMPAIGN_FIELDS: &[FieldSpec] = &[
     text("name", "Name of the campaign."),
     text("user", "User whose trainers may submit steps; must be declared."),
-    text("model", "Model whose engines make the samples."),
-    text("scoring", "Scoring service."),
+    text("model", "Model whose engines generate the samples."),
+    text("scoring", "Service that scores the samples."),
     FieldSpec {
         name: "places",
         kind: FieldKind::TextList,
         default: None,
-        meaning: "Availability zones in which samples are made, scored and kept.",
+        meaning: "Availability zones in which samples are generated, scored and stored.",
     },
     count("max_staleness_versions", (0, 1_000), None, "Largest sample age in weight versions."),
-    count("max_staleness_seconds", (0, MAX_COUNT), Some("0"), "Largest sample age in seconds; 0 sets no bound."),
+    count(
+        "max_staleness_seconds",
+        (0, MAX_STALENESS_SECONDS),
+        Some("0"),
+        "Largest sample age in seconds; 0 sets no bound.",
+    ),
     count("weight", (1, 1_000), Some("1"), "Share of engine time relative to other campaigns."),
-    count("max_tokens", (1, 1_000_000), Some("256"), "Tokens generated for a sample at most."),
-    count("serving_percent", (0, 100), Some("50"), "Engines that keep serving during a swap, in percent."),
+    count("max_tokens", (1, 1_000_000), Some("256"), "Largest number of tokens of a sample."),
+    count(
+        "serving_percent",
+        (0, 100),
+        Some("50"),
+        "Smallest share of the model's engines that keeps serving during a swap, in percent.",
+    ),
 ];
 
-/// The fields of a declaration file, also the source of docs/SETTINGS.md.
+/// The fields of a declaration file, from which its table in docs/SETTINGS.md is generated.
 pub const DECLARATION_SECTIONS: &[FieldSpec] = &[
-    text("scope", "Owner of the declared items; items of other scopes are left alone."),
+    text("scope", "Scope that owns the declared items; items of other scopes are not changed."),
     records("zones", ZONE_FIELDS, "Availability zones."),
     records("backends", BACKEND_FIELDS, "Backend servers."),
     records("users", USER_FIELDS, "Users and their limits."),
@@ -239,56 +252,63 @@
     FieldSpec { name, kind: FieldKind::Records(fields), default: Some("[]"), meaning }
 }
 
-/// Parses a declaration and reports every fault of it at once.
+/// Parses a declaration, or returns all of its errors.
 ///
-/// References are checked within the file: a zone, user, model or scoring service that a campaign
-/// names must be declared beside it, so that a plan can never commit a dangling reference.
+/// References are checked within the file: each zone, user, model and scoring service that is named must be
+/// declared in the same file, so that a plan never commits a dangling reference.
 pub fn parse_declaration(file: &str, text: &str) -> Result<Declaration, Vec<DocumentFault>> {
     let document = check_document(file, text, DECLARATION_SECTIONS)?;
     let declaration =
         Declaration::deserialize(document.value()).map_err(|error| vec![document.fault("scope", error.to_string())])?;
-    let faults = reference_faults(&document, &declaration);
-    if faults.is_empty() { Ok(declaration) } else { Err(faults) }
+    let errors = reference_errors(&document, &declaration);
+    if errors.is_empty() { Ok(declaration) } else { Err(errors) }
 }
 
-fn reference_faults(document: &CheckedDocument, declaration: &Declaration) -> Vec<DocumentFault> {
+fn reference_errors(document: &CheckedDocument, declaration: &Declaration) -> Vec<DocumentFault> {
     let zones: BTreeSet<&str> = declaration.zones.iter().map(|zone| zone.name.as_ref()).collect();
     let users: BTreeSet<&str> = declaration.users.iter().map(|user| user.name.as_ref()).collect();
-    let mut faults = Vec::new();
-    let mut require = |found: bool, key: String, message: String| {
-        if !found {
-            faults.push(document.fault(&key, message));
+    let mut errors = Vec::new();
+    let mut require = |is_met: bool, key: String, message: String| {
+        if !is_met {
+            errors.push(document.fault(&key, message));
         }
     };
     for (index, backend) in declaration.backends.iter().enumerate() {
-        let known = zones.contains(backend.zone.as_ref());
-        require(known, format!("backends[{index}].zone"), format!("no zone {} is declared", backend.zone));
+        let is_declared = zones.contains(backend.zone.as_ref());
+        require(is_declared, format!("backends[{index}].zone"), format!("no zone {} is declared", backend.zone));
     }
     for (index, user) in declaration.users.iter().enumerate() {
-        for zone in user.places.zones() {
-            let known = zones.contains(zone.as_ref());
-            require(known, format!("users[{index}].places"), format!("no zone {zone} is declared"));
+        for zone in user.allowed_zones.zones() {
+            let is_declared = zones.contains(zone.as_ref());
+            require(is_declared, format!("users[{index}].places"), format!("no zone {zone} is declared"));
         }
     }
     for (index, campaign) in declaration.campaigns.iter().enumerate() {
         let path = format!("campaigns[{index}]");
-        for zone in campaign.places.zones() {
-            let known = zones.contains(zone.as_ref());
-            require(known, format!("{path}.places"), format!("no zone {zone} is declared"));
+        for zone in campaign.allowed_zones.zones() {
+            let is_declared = zones.contains(zone.as_ref());
+            require(is_declared, format!("{path}.places"), format!("no zone {zone} is declared"));
         }
-        let known = users.contains(campaign.user.as_ref());
-        require(known, format!("{path}.user"), format!("no user {} is declared", campaign.user));
-        let served = serves(declaration, campaign, BackendKind::Engine, &campaign.model);
-        require(served, format!("{path}.model"), format!("no engine in the places serves {}", campaign.model));
-        let scored = serves(declaration, campaign, BackendKind::Scoring, &campaign.scoring);
-        require(scored, format!("{path}.scoring"), format!("no scoring service {} in the places", campaign.scoring));
+        let is_declared = users.contains(campaign.user.as_ref());
+        require(is_declared, format!("{path}.user"), format!("no user {} is declared", campaign.user));
+        let has_engine = is_served(declaration, campaign, BackendKind::Engine, &campaign.model);
+        require(
+            has_engine,
+            format!("{path}.model"),
+            format!("no engine in the campaign's zones serves {}", campaign.model),
+        );
+        let has_scoring = is_served(declaration, campaign, BackendKind::Scoring, &campaign.scoring);
+        require(
+            has_scoring,
+            format!("{path}.scoring"),
+            format!("no scoring service {} in the campaign's zones", campaign.scoring),
+        );
     }
-    faults
+    errors
 }
 
-fn serves(declaration: &Declaration, campaign: &Campaign, kind: BackendKind, service: &Name) -> bool {
-    declaration
-        .backends
-        .iter()
-        .any(|backend| backend.kind == kind && backend.service == *service && campaign.places.allows(&backend.zone))
+fn is_served(declaration: &Declaration, campaign: &Campaign, kind: BackendKind, service: &Name) -> bool {
+    declaration.backends.iter().any(|backend| {
+        backend.kind == kind && backend.service == *service && campaign.allowed_zones.allows(&backend.zone)
+    })
 }
--- a/crates/trestlerack/src/version/engine_need.rs
+++ b/crates/trestlerack/src/version/engine_need.rs
@@ -1,13 +1,13 @@
-//! How many engines the work of a model needs.
+//! Computes how many engines the work of a model needs.
 
-/// Places for each item of a model's open steps. While half of its engines load a version the other half
-/// runs the step.
-const PLACES_PER_ITEM: usize = 2;
+/// Engine slots for each item of a model's open steps. There are two, so that half of the engines can run the
+/// step while the other half loads a version.
+const SLOTS_PER_ITEM: usize = 2;
 
-/// Engines of a model whose work is small or not known yet.
-const LEAST_ENGINES: usize = 32;
+/// Number of engines of a model whose work is small or not known yet.
+const MIN_ENGINES: usize = 32;
 
-/// Returns how many engines a model needs whose open steps have `items`, on engines with `slots` places.
+/// Returns how many engines with `slots` slots each a model needs whose open steps have `items` items.
 pub fn engines_needed(items: usize, slots: u32) -> usize {
-    (items * PLACES_PER_ITEM).div_ceil(slots.max(1) as usize).max(LEAST_ENGINES)
+    (items * SLOTS_PER_ITEM).div_ceil(slots.max(1) as usize).max(MIN_ENGINES)
 }
--- a/crates/trestlerack/src/version/follower.rs
+++ b/crates/trestlerack/src/version/follower.rs
@@ -1,45 +1,45 @@
-//! Follows the configuration from peers and the table, and never goes back.
+//! Follows the configuration from peers and the table, without ever returning to an older generation.
 
 use super::{ConfigDelta, Configuration};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Recent deltas kept for peers that are a little behind.
-const KEPT_DELTAS: usize = 256;
+/// Number of recent deltas that are kept for peers that are a few generations behind.
+const MAX_RECENT_DELTAS: usize = 256;
 
-/// What a follower is told.
+/// An input of a [`ConfigFollower`].
 #[derive(Clone, Debug)]
 pub enum FollowEvent {
-    /// Someone claims that `generation` exists: a peer's heartbeat or the head row.
-    Heard {
-        /// The claimed generation.
+    /// A peer's heartbeat or the head row announced that `generation` exists.
+    Announced {
+        /// The announced generation.
         generation: u64,
     },
     /// Deltas in generation order, from a peer or from the table.
     Deltas(Vec<ConfigDelta>),
-    /// A whole configuration, from a peer or from a snapshot object.
+    /// A complete configuration, from a peer or from a snapshot object.
     Snapshot(Configuration),
 }
 
-/// What a follower asks for.
+/// What the caller of a [`ConfigFollower`] must do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FollowAction {
-    /// Fetch the deltas after this generation, or a snapshot where they are gone.
+    /// Fetch the deltas after a generation, or a snapshot if the deltas are no longer available.
     Fetch {
-        /// The generation that this node has.
+        /// The current generation of this node.
         after: u64,
     },
-    /// A newer generation is in force on this node; peers should hear of it.
+    /// Announce to peers that this node has applied a newer generation.
     Applied {
-        /// The generation in force.
+        /// The applied generation.
         generation: u64,
     },
 }
 
-/// Holds the configuration in force on one node.
+/// Holds the current configuration of one node.
 ///
-/// A generation is applied only on top of the one before it, or as a snapshot that is newer, so a
-/// stale read, a restart or a partition can delay a change and can never take one back.
+/// It applies a delta only to the generation directly before, and a snapshot only if it is newer. So a stale
+/// read, a restart or a partition can delay a change but never revert one.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigFollower {
     current: Arc<Configuration>,
@@ -47,21 +47,21 @@
 }
 
 impl ConfigFollower {
-    /// Returns the configuration in force.
+    /// Returns the current configuration.
     pub fn current(&self) -> &Arc<Configuration> {
         &self.current
     }
 
-    /// Handles one event.
+    /// Handles one event and returns what to do next, if anything.
     pub fn handle(&mut self, event: FollowEvent) -> Option<FollowAction> {
         match event {
-            FollowEvent::Heard { generation } => self.fetch_if_behind(generation),
+            FollowEvent::Announced { generation } => self.fetch_if_behind(generation),
             FollowEvent::Deltas(deltas) => self.apply_deltas(deltas),
             FollowEvent::Snapshot(snapshot) => self.apply_snapshot(snapshot),
         }
     }
 
-    /// Returns the deltas after `generation`, or `None` where they are no longer all kept.
+    /// Returns the deltas after `generation`, or `None` if not all of them are kept any more.
     pub fn deltas_after(&self, generation: u64) -> Option<Vec<ConfigDelta>> {
         let oldest = self.current.generation - self.recent.len() as u64;
         (generation >= oldest)
@@ -77,10 +77,10 @@
         let before = self.current.generation;
         let newest = deltas.iter().map(|delta| delta.generation).max().unwrap_or(0);
         for delta in deltas {
-            // Readers keep the generation that they hold; the items of both are shared.
+            // A reader of the previous generation keeps its own copy, which shares the unchanged items.
             let is_next = delta.generation == self.current.generation + 1;
             if is_next && Arc::make_mut(&mut self.current).apply(&delta) {
-                self.keep(delta);
+                self.keep_delta(delta);
             }
         }
         if self.current.generation > before {
@@ -98,8 +98,8 @@
         Some(FollowAction::Applied { generation: self.current.generation })
     }
 
-    fn keep(&mut self, delta: ConfigDelta) {
-        if self.recent.len() == KEPT_DELTAS {
+    fn keep_delta(&mut self, delta: ConfigDelta) {
+        if self.recent.len() == MAX_RECENT_DELTAS {
             self.recent.pop_front();
         }
         self.recent.push_back(delta);
--- a/crates/trestlerack/src/version/load_time.rs
+++ b/crates/trestlerack/src/version/load_time.rs
@@ -1,163 +1,168 @@
-//! How long engines take to load a version, learnt from a few loads that are looked at.
+//! Estimates how long engines take to load a weight version by measuring a few of the loads.
 
 use crate::{Name, Timestamp};
 use std::time::Duration;
 
-/// Share of the estimate after which a load that is looked at is asked about first. One that is done
+/// Fraction of the estimate after which the engine of a measured load is polled first. A load that is done
 /// by then lowers the estimate.
-const EARLY_SHARE: f64 = 0.8;
+const FIRST_POLL_FRACTION: f64 = 0.8;
 
-/// What such a load takes off the estimate.
-const LOWERED: f64 = 0.9;
+/// Factor on the estimate after a load that was done at the first poll.
+const EARLY_LOAD_FACTOR: f64 = 0.9;
 
-/// Share of the estimate between two questions once it has passed.
-const ASK_SHARE: f64 = 0.15;
+/// Interval between two polls after the estimate has passed, as a fraction of the estimate.
+const POLL_INTERVAL_FRACTION: f64 = 0.15;
 
-/// What a report lags behind in the mean, and at most: engines tell what was some hundred
-/// milliseconds ago. One asked later than that has the order in its report.
-const REPORT_LAG: Duration = Duration::from_millis(150);
-const REPORT_LAG_MAX: Duration = Duration::from_millis(300);
+/// Mean age of the state in an engine's report: engines report a state of some hundred milliseconds ago.
+const MEAN_REPORT_LAG: Duration = Duration::from_millis(150);
 
-/// Shortest estimate, so that questions do not come in a rush.
-const LEAST: Duration = Duration::from_millis(100);
+/// Largest age of the state in an engine's report. A report that is requested this long after an order
+/// includes the order.
+const MAX_REPORT_LAG: Duration = Duration::from_millis(300);
 
-/// How many times the estimate a load is looked at. Loads that came after it count as under way
-/// for as long, so one that its engine lost must not hold up the others. An engine that still
-/// loads then doubles the estimate.
-const LOOKED_AT: u32 = 4;
+/// Smallest estimate, which limits the rate of polls.
+const MIN_ESTIMATE: Duration = Duration::from_millis(100);
 
-/// Most loads that pass between two looks while the estimate stays right. Each look costs two
-/// questions.
-const MOST_PASSED: u32 = 16;
+/// Time after which the measurement of a load ends, as a multiple of the estimate. Later loads count as
+/// unfinished as long as the measured one does, so a load that its engine dropped must not delay the
+/// others for longer. If the engine is still loading then, the estimate is doubled.
+const MEASUREMENT_TIMEOUT_FACTOR: u32 = 4;
 
-/// A load that is looked at.
+/// Largest number of loads without a measurement between two measured ones while the estimate stays right.
+/// Each measurement costs two polls.
+const MAX_UNMEASURED_LOADS: u32 = 16;
+
+/// A load whose time is measured.
 #[derive(Clone, Debug)]
-struct WatchedLoad {
+struct MeasuredLoad {
     instance: Name,
     ordered_at: Timestamp,
-    ask_at: Timestamp,
-    was_early: bool,
-    is_loading: bool,
-    /// Whether it was asked about and no answer came yet.
-    is_asked: bool,
+    next_poll_at: Timestamp,
+    /// Whether the last poll was sent before the estimate had passed.
+    was_polled_early: bool,
+    /// Whether a report showed that the engine was loading.
+    was_seen_loading: bool,
+    /// Whether a poll was sent that has no response yet.
+    is_poll_pending: bool,
 }
 
 /// What an engine reported of a load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReport {
-    /// It holds the version.
-    Done,
-    /// It carries out an order.
+    /// The engine has loaded the version.
+    Loaded,
+    /// The engine is loading a version.
     Loading,
-    /// Neither: the engine was restarted since.
-    Lost,
+    /// The engine neither has the version nor loads one: it was restarted since the order.
+    Dropped,
 }
 
-/// The estimate of a service's load time, and the load by which it is checked.
+/// Estimates the time that an engine of a service takes to load a version.
 #[derive(Clone, Debug)]
-pub struct LoadTime {
+pub struct LoadTimeEstimator {
     estimate: Duration,
-    watched: Option<WatchedLoad>,
-    /// Loads that pass before the next one is looked at.
-    passes: u32,
-    /// How many loads to pass after the next look that finds the estimate right.
-    next_passes: u32,
+    measured: Option<MeasuredLoad>,
+    /// Loads to skip before the next one is measured.
+    skips: u32,
+    /// Loads to skip after the next measurement that confirms the estimate.
+    next_skips: u32,
 }
 
-impl LoadTime {
-    /// Starts with a first estimate.
+impl LoadTimeEstimator {
+    /// Builds an estimator with a first estimate.
     pub fn new(estimate: Duration) -> Self {
-        Self { estimate, watched: None, passes: 0, next_passes: 1 }
+        Self { estimate, measured: None, skips: 0, next_skips: 1 }
     }
 
-    /// Returns how long a load is expected to take.
+    /// Returns the expected time of a load.
     pub fn estimate(&self) -> Duration {
         self.estimate
     }
 
-    /// Returns whether a load that was ordered at `ordered_at` is under way as far as is known. One
-    /// that came after a load that is still seen to be under way is so too.
-    pub fn is_under_way(&self, now: Timestamp, ordered_at: Timestamp) -> bool {
-        let behind = self.watched.as_ref().is_some_and(|watched| ordered_at >= watched.ordered_at);
-        behind || now.since(ordered_at) < self.estimate
+    /// Returns whether a load that was ordered at `ordered_at` probably is still running. It also is while the
+    /// measured load is unfinished and was ordered no later.
+    pub fn is_unfinished(&self, now: Timestamp, ordered_at: Timestamp) -> bool {
+        let is_after_measured = self.measured.as_ref().is_some_and(|load| ordered_at >= load.ordered_at);
+        is_after_measured || now.since(ordered_at) < self.estimate
     }
 
-    /// Records that an engine accepted an order; one load at a time is looked at.
-    pub fn ordered(&mut self, now: Timestamp, instance: &Name) {
-        if self.watched.is_some() {
+    /// Records that an engine accepted an order, and may begin to measure its load. One load is measured at a
+    /// time.
+    pub fn record_order(&mut self, now: Timestamp, instance: &Name) {
+        if self.measured.is_some() {
             return;
         }
-        if self.passes > 0 {
-            self.passes -= 1;
+        if self.skips > 0 {
+            self.skips -= 1;
             return;
         }
-        let ask_at = now + self.estimate.mul_f64(EARLY_SHARE).max(REPORT_LAG_MAX);
-        self.watched = Some(WatchedLoad {
+        let next_poll_at = now + self.estimate.mul_f64(FIRST_POLL_FRACTION).max(MAX_REPORT_LAG);
+        self.measured = Some(MeasuredLoad {
             instance: instance.clone(),
             ordered_at: now,
-            ask_at,
-            was_early: false,
-            is_loading: false,
-            is_asked: false,
+            next_poll_at,
+            was_polled_early: false,
+            was_seen_loading: false,
+            is_poll_pending: false,
         });
     }
 
-    /// Returns the engine to ask now, if one is due, and puts the next question off.
-    pub fn due(&mut self, now: Timestamp) -> Option<Name> {
+    /// Returns the engine to poll now, if a poll is due, and schedules the next poll.
+    pub fn take_due_poll(&mut self, now: Timestamp) -> Option<Name> {
         let estimate = self.estimate;
-        let watched = self.watched.as_mut()?;
-        if now.since(watched.ordered_at) >= estimate * LOOKED_AT {
-            if watched.is_loading {
+        let load = self.measured.as_mut()?;
+        if now.since(load.ordered_at) >= estimate * MEASUREMENT_TIMEOUT_FACTOR {
+            if load.was_seen_loading {
                 self.estimate = estimate * 2;
             }
-            self.watched = None;
+            self.measured = None;
             return None;
         }
-        if now < watched.ask_at || watched.is_asked {
+        if now < load.next_poll_at || load.is_poll_pending {
             return None;
         }
-        let at_estimate = watched.ordered_at + estimate;
-        watched.was_early = now < at_estimate;
-        watched.is_asked = true;
-        watched.ask_at = at_estimate.max(now + estimate.mul_f64(ASK_SHARE));
-        Some(watched.instance.clone())
+        let at_estimate = load.ordered_at + estimate;
+        load.was_polled_early = now < at_estimate;
+        load.is_poll_pending = true;
+        load.next_poll_at = at_estimate.max(now + estimate.mul_f64(POLL_INTERVAL_FRACTION));
+        Some(load.instance.clone())
     }
 
-    /// Returns whether the load of an engine is looked at.
-    pub fn is_watched(&self, instance: &str) -> bool {
-        self.watched.as_ref().is_some_and(|watched| &*watched.instance == instance)
+    /// Returns whether the load of `instance` is being measured.
+    pub fn is_measured(&self, instance: &str) -> bool {
+        self.measured.as_ref().is_some_and(|load| &*load.instance == instance)
     }
 
-    /// Records what the engine whose load is looked at said.
-    pub fn reported(&mut self, now: Timestamp, report: LoadReport) {
-        let Some(mut watched) = self.watched.take() else { return };
+    /// Records the report of the engine whose load is measured.
+    pub fn record_report(&mut self, now: Timestamp, report: LoadReport) {
+        let Some(mut load) = self.measured.take() else { return };
         match report {
-            LoadReport::Lost => return,
+            LoadReport::Dropped => return,
             LoadReport::Loading => {
-                watched.is_loading = true;
-                watched.is_asked = false;
-                self.watched = Some(watched);
+                load.was_seen_loading = true;
+                load.is_poll_pending = false;
+                self.measured = Some(load);
                 return;
             }
-            LoadReport::Done => {}
+            LoadReport::Loaded => {}
         }
-        let took = now.since(watched.ordered_at).saturating_sub(REPORT_LAG);
-        // Only a load that was seen under way may raise the estimate: another one may have been done
-        // long before it was asked about. Where answers to orders were lost, questions came 0.9 s
-        // late, and engines that took 0.9 s counted as loading for 4.5 s.
-        let learnt = match (watched.was_early, watched.is_loading) {
-            (true, _) => self.estimate.mul_f64(LOWERED),
-            (false, true) => took.max(self.estimate),
+        let load_time = now.since(load.ordered_at).saturating_sub(MEAN_REPORT_LAG);
+        // Only a load that a report showed in progress may raise the estimate, because any other one may
+        // have finished long before its poll. When responses to orders were lost, polls came 0.9 s late,
+        // and engines that took 0.9 s counted as loading for 4.5 s.
+        let new_estimate = match (load.was_polled_early, load.was_seen_loading) {
+            (true, _) => self.estimate.mul_f64(EARLY_LOAD_FACTOR),
+            (false, true) => load_time.max(self.estimate),
             (false, false) => self.estimate,
         };
-        let is_right = learnt.abs_diff(self.estimate) < self.estimate.mul_f64(ASK_SHARE / 2.0);
-        self.passes = if is_right { self.next_passes } else { 0 };
-        self.next_passes = if is_right { (self.next_passes * 2).min(MOST_PASSED) } else { 1 };
-        self.estimate = learnt.max(LEAST);
+        let is_confirmed = new_estimate.abs_diff(self.estimate) < self.estimate.mul_f64(POLL_INTERVAL_FRACTION / 2.0);
+        self.skips = if is_confirmed { self.next_skips } else { 0 };
+        self.next_skips = if is_confirmed { (self.next_skips * 2).min(MAX_UNMEASURED_LOADS) } else { 1 };
+        self.estimate = new_estimate.max(MIN_ESTIMATE);
     }
 
-    /// Records that the engine whose load is looked at is gone or does not answer.
-    pub fn lost(&mut self) {
-        self.watched = None;
+    /// Ends the measurement, because the engine is gone or does not respond.
+    pub fn cancel_measurement(&mut self) {
+        self.measured = None;
     }
 }
--- a/crates/trestlerack/src/version/mod.rs
+++ b/crates/trestlerack/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as a version: configuration generations and weight versions.
+//! State that is replaced as a whole: configuration generations and weight versions.
 
 mod config_store;
 mod configuration;
@@ -13,10 +13,10 @@
 mod staleness;
 mod weight_plan;
 
-pub use config_store::{CommitTry, ConfigStore, Confirmation};
-pub use configuration::{ConfigDelta, Configuration, Item, ItemBody};
+pub use config_store::{ConfigStore, PlanCommit, PlanConfirmation};
+pub use configuration::{ConfigContent, ConfigDelta, ConfigItem, Configuration};
 pub use customers::{
-    CallerCredential, CallerVerdict, Customer, CustomerDirectory, CustomerKey, KeyDigest, RefreshGate,
+    CallerCredential, CallerIdentity, Customer, CustomerDirectory, CustomerKey, KeyDigest, RefreshLimiter,
 };
 pub use declaration::{
     Backend, BackendKind, Campaign, DECLARATION_SECTIONS, Declaration, User, Zone, parse_declaration,
@@ -29,4 +29,6 @@
 };
 pub use routing::{ClientLimits, RequestRoute, RouteKind, RoutedService, RoutingTable, SplitShare};
 pub use staleness::{SampleAge, StalenessRule, WeightVersion};
-pub use weight_plan::{DueOrder, EngineAssignment, LIST_LAG, OrderOutcome, WeightPlan, WeightPlanSettings};
+pub use weight_plan::{
+    DueOrder, EngineAssignment, MAX_HEARTBEAT_LAG, OrderOutcome, WeightScheduler, WeightSchedulerSettings,
+};
--- a/crates/trestlerack/src/version/plan.rs
+++ b/crates/trestlerack/src/version/plan.rs
@@ -1,6 +1,6 @@
-//! Plans: what a declaration would change, in words, before anything changes.
+//! Plans the changes that a declaration would make, so that an operator can review and confirm them.
 
-use super::{Campaign, ConfigDelta, Configuration, Declaration, Item, ItemBody};
+use super::{Campaign, ConfigContent, ConfigDelta, ConfigItem, Configuration, Declaration};
 use crate::Name;
 use crate::hash::digest_hex;
 use serde::{Deserialize, Serialize};
@@ -14,15 +14,16 @@
     pub scope: Name,
     /// Generation at which the scope last changed when the plan was made.
     ///
-    /// The confirmation is refused if the scope has changed since. Changes of other scopes do not
-    /// matter, or at 66,000 changes a day no plan would live long enough to be read.
-    pub made_from: u64,
-    /// Digest of the changes; a confirmation must present the same one.
+    /// The confirmation is rejected if the scope has changed since. Changes of other scopes are allowed: at
+    /// 66,000 changes a day, every plan would be outdated before it is read.
+    #[serde(rename = "made_from")]
+    pub base_generation: u64,
+    /// Digest of the changes; a confirmation must contain the same digest.
     pub digest: Name,
-    /// What would change, a sentence each.
+    /// Description of each change for the operator.
     pub effects: Vec<Name>,
-    /// The changes themselves.
-    pub changes: Vec<(Name, Option<Arc<Item>>)>,
+    /// New content by key; `None` removes the item.
+    pub changes: Vec<(Name, Option<Arc<ConfigItem>>)>,
 }
 
 impl ChangePlan {
@@ -56,44 +57,46 @@
 
 impl std::error::Error for PlanError {}
 
-/// Compares a declaration with the configuration in force.
+/// Plans the changes that bring the current configuration in line with a declaration.
+///
+/// Fails if the declaration names an item of another scope.
 pub fn plan_change(current: &Configuration, declaration: &Declaration) -> Result<ChangePlan, PlanError> {
     let wanted = declaration.items();
     let mut changes = Vec::new();
     let mut effects = Vec::new();
     for (key, item) in &wanted {
-        let held = current.items.get(key);
-        if let Some(held) = held.filter(|held| held.scope != declaration.scope) {
-            return Err(PlanError::OwnedElsewhere { key: key.clone(), owner: held.scope.clone() });
+        let existing = current.items.get(key);
+        if let Some(other) = existing.filter(|existing| existing.scope != declaration.scope) {
+            return Err(PlanError::OwnedElsewhere { key: key.clone(), owner: other.scope.clone() });
         }
-        if held.map(Arc::as_ref) != Some(item) {
-            effects.push(describe_change(key, held.map(Arc::as_ref), item));
+        if existing.map(Arc::as_ref) != Some(item) {
+            effects.push(describe_change(key, existing.map(Arc::as_ref), item));
             changes.push((key.clone(), Some(Arc::new(item.clone()))));
         }
     }
-    let dropped =
+    let removed =
         current.items.iter().filter(|(key, item)| item.scope == declaration.scope && !wanted.contains_key(*key));
-    for (key, item) in dropped {
+    for (key, item) in removed {
         effects.push(describe_removal(key, item));
         changes.push((key.clone(), None));
     }
-    let made_from = current.scope_generation(&declaration.scope);
+    let base_generation = current.scope_generation(&declaration.scope);
     let encoded = serde_json::to_vec(&changes).expect("items always encode");
     let digest = digest_hex(&encoded).into();
-    Ok(ChangePlan { scope: declaration.scope.clone(), made_from, digest, effects, changes })
+    Ok(ChangePlan { scope: declaration.scope.clone(), base_generation, digest, effects, changes })
 }
 
-fn describe_change(key: &Name, held: Option<&Item>, wanted: &Item) -> Name {
-    match (held.map(|item| &item.body), &wanted.body) {
-        (None, ItemBody::Backend(backend)) => {
+fn describe_change(key: &Name, existing: Option<&ConfigItem>, wanted: &ConfigItem) -> Name {
+    match (existing.map(|item| &item.body), &wanted.body) {
+        (None, ConfigContent::Backend(backend)) => {
             format!("{key}: starts to receive work for {} in {}", backend.service, backend.zone).into()
         }
         (None, _) => format!("{key}: is created").into(),
-        (Some(ItemBody::Campaign(old)), ItemBody::Campaign(new)) => describe_campaign(old, new).into(),
-        (Some(ItemBody::Backend(old)), ItemBody::Backend(new)) if new.leaving && !old.leaving => {
-            format!("{key}: receives no new work; requests in progress end by themselves").into()
+        (Some(ConfigContent::Campaign(old)), ConfigContent::Campaign(new)) => describe_campaign(old, new).into(),
+        (Some(ConfigContent::Backend(old)), ConfigContent::Backend(new)) if new.is_draining && !old.is_draining => {
+            format!("{key}: receives no new work; requests in progress are completed").into()
         }
-        (Some(ItemBody::Backend(old)), ItemBody::Backend(new)) if new.zone != old.zone => {
+        (Some(ConfigContent::Backend(old)), ConfigContent::Backend(new)) if new.zone != old.zone => {
             format!("{key}: moves from {} to {}", old.zone, new.zone).into()
         }
         _ => format!("{key}: changes").into(),
@@ -102,15 +105,15 @@
 
 fn describe_campaign(old: &Campaign, new: &Campaign) -> String {
     let mut effects = Vec::new();
-    for zone in old.places.zones_missing_from(&new.places) {
-        effects.push(format!("no longer uses {zone}; groups in progress are cancelled and made again"));
+    for zone in old.allowed_zones.zones_missing_from(&new.allowed_zones) {
+        effects.push(format!("no longer uses {zone}; groups in progress are cancelled and generated again"));
     }
-    for zone in new.places.zones_missing_from(&old.places) {
+    for zone in new.allowed_zones.zones_missing_from(&old.allowed_zones) {
         effects.push(format!("may use {zone}"));
     }
     if new.max_staleness_versions < old.max_staleness_versions {
         effects.push(format!(
-            "staleness bound tightens from {} to {} versions; older samples of open steps are made again",
+            "staleness bound tightens from {} to {} versions; older samples of open steps are generated again",
             old.max_staleness_versions, new.max_staleness_versions
         ));
     }
@@ -126,10 +129,10 @@
     format!("campaign/{}: {}", new.name, effects.join("; "))
 }
 
-fn describe_removal(key: &Name, item: &Item) -> Name {
+fn describe_removal(key: &Name, item: &ConfigItem) -> Name {
     match &item.body {
-        ItemBody::Backend(_) => format!("{key}: receives no new work and is forgotten").into(),
-        ItemBody::Campaign(_) => format!("{key}: ends; its open steps are abandoned").into(),
+        ConfigContent::Backend(_) => format!("{key}: receives no new work and is removed").into(),
+        ConfigContent::Campaign(_) => format!("{key}: ends; its open steps are abandoned").into(),
         _ => format!("{key}: is removed").into(),
     }
 }
--- a/crates/trestlerack/src/version/rollout.rs
+++ b/crates/trestlerack/src/version/rollout.rs
@@ -1,4 +1,4 @@
-//! Swaps weights on the engines that one owner drives, keeping enough of them serving.
+//! Plans weight swaps on the engines of one owner so that enough of them keep serving.
 
 use super::WeightVersion;
 use crate::{Name, Timestamp};
@@ -6,29 +6,31 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The version that a model's engines should hold, and the fencing number of who said so.
+/// The weight version that a model's engines should load, with the fencing token of the lease holder that
+/// set it.
 ///
-/// It is a level and not a step: repeating or reordering it is harmless, and a lower pair of
-/// fence and version never replaces a higher one.
+/// It names the wanted state and not a change, so that it may be repeated or reordered. A target with a
+/// lower fencing token or a lower version never replaces the current one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightTarget {
-    /// Model that is meant.
+    /// Model whose engines should load the version.
     pub model: Name,
-    /// Version that its engines should hold.
+    /// Version that the engines should load.
     pub version: WeightVersion,
-    /// Fencing number of the lease under which it was set.
+    /// Fencing token of the lease under which the target was set.
     pub fence: u64,
-    /// Engines that keep serving during the swap, in percent.
+    /// Smallest share of the engines that keeps serving during the swap, in percent.
     pub serving_percent: u32,
-    /// Whether the holder of the lease has waited out its predecessor's orders, so that engines
-    /// that do not check fencing may be ordered too.
-    pub quiet_over: bool,
+    /// Whether orders of the previous lease holder can no longer arrive, so that engines that do not check
+    /// fencing tokens may be ordered too.
+    #[serde(rename = "quiet_over")]
+    pub is_handover_complete: bool,
 }
 
 impl WeightTarget {
-    /// Returns whether this target replaces or repeats `held`.
-    pub fn supersedes(&self, held: &Self) -> bool {
-        self.fence >= held.fence && self.version >= held.version
+    /// Returns whether this target replaces or repeats `current`.
+    pub fn supersedes(&self, current: &Self) -> bool {
+        self.fence >= current.fence && self.version >= current.version
     }
 }
 
@@ -36,16 +38,18 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RolloutSettings {
-    /// How long an order may take before it counts as lost.
+    /// Time after which an order without an answer counts as failed.
     pub order_timeout: Duration,
-    /// Wait before an engine that failed an order is asked again; it doubles with each failure.
-    pub retry_wait: Duration,
-    /// Failures in a row after which an engine is set aside.
+    /// Delay before an engine that failed an order is ordered again; it doubles with each further failure.
+    #[serde(rename = "retry_wait")]
+    pub first_backoff: Duration,
+    /// Consecutive failures after which an engine is not ordered for `failure_cooldown`.
     pub max_failures: u32,
-    /// How long an engine stays set aside before it is tried again.
-    pub set_aside: Duration,
-    /// How long a target may be acted on after it was last heard; a node that was paused then
-    /// gives no orders from a target that may have been replaced.
+    /// Delay before an engine with `max_failures` consecutive failures is ordered again.
+    #[serde(rename = "set_aside")]
+    pub failure_cooldown: Duration,
+    /// Time after which a target that was not received again is no longer acted on. A node that was paused
+    /// sends no orders for a target that may have been replaced meanwhile.
     pub target_ttl: Duration,
 }
 
@@ -53,34 +57,35 @@
     fn default() -> Self {
         Self {
             order_timeout: Duration::from_secs(10),
-            retry_wait: Duration::from_millis(250),
+            first_backoff: Duration::from_millis(250),
             max_failures: 4,
-            set_aside: Duration::from_secs(60),
+            failure_cooldown: Duration::from_secs(60),
             target_ttl: Duration::from_secs(6),
         }
     }
 }
 
-/// What a planner is told.
+/// An input of a [`RolloutPlanner`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum RolloutEvent {
-    /// The engines that this owner drives now.
+    /// The complete list of engines that this owner drives.
     Engines(Vec<RolloutEngine>),
-    /// A new target.
+    /// A target, new or repeated.
     Target(WeightTarget),
-    /// An engine said, in a status answer or a stream, which version it holds.
-    Held {
+    /// An engine reported its loaded version, in a status response or a stream.
+    #[serde(rename = "Held")]
+    VersionReported {
         /// The engine.
         engine: Name,
-        /// The version it holds.
+        /// The loaded version.
         version: WeightVersion,
     },
-    /// An order failed or its answer was lost.
+    /// An order failed or its response was lost.
     OrderFailed {
         /// The engine.
         engine: Name,
     },
-    /// Time passed.
+    /// A timer event.
     Tick,
 }
 
@@ -89,80 +94,83 @@
 pub struct RolloutEngine {
     /// Name of the engine.
     pub name: Name,
-    /// Whether it refuses an order with an old fencing number.
+    /// Whether the engine rejects an order with an old fencing token.
     pub checks_fencing: bool,
 }
 
-/// An order for an engine to hold a version.
+/// An order to an engine to load a version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineOrder {
     /// The engine.
     pub engine: Name,
-    /// The version it should hold.
+    /// The version to load.
     pub version: WeightVersion,
-    /// Fencing number; an engine that checks it refuses an older one.
+    /// Fencing token; an engine that checks it rejects an older one.
     pub fence: u64,
 }
 
-/// The progress of one engine, for operators.
+/// The rollout progress of one engine, for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineRollout {
-    /// The version that the engine last said it holds.
-    pub held: Option<WeightVersion>,
-    /// Failed orders in a row.
+    /// The loaded version that the engine last reported.
+    #[serde(rename = "held")]
+    pub loaded_version: Option<WeightVersion>,
+    /// Consecutive failed orders.
     pub failures: u32,
-    /// Whether an order is out.
-    pub ordered: bool,
-    /// Whether the engine is set aside until its wait is over.
-    pub set_aside: bool,
+    /// Whether an order is pending.
+    #[serde(rename = "ordered")]
+    pub is_order_pending: bool,
+    /// Whether the engine failed so often that it gets no order until its cooldown ends.
+    #[serde(rename = "set_aside")]
+    pub is_cooling_down: bool,
 }
 
 #[derive(Clone, Debug, Default)]
 struct EngineState {
-    held: Option<WeightVersion>,
+    loaded_version: Option<WeightVersion>,
     checks_fencing: bool,
     failures: u32,
     ordered_at: Option<Timestamp>,
     not_before: Timestamp,
 }
 
-/// Decides which engine of one model and one owner swaps next.
+/// Decides which engines of one model and one owner load the target version next.
 #[derive(Clone, Debug)]
 pub struct RolloutPlanner {
     settings: RolloutSettings,
     target: Option<WeightTarget>,
-    heard_at: Timestamp,
+    target_received_at: Timestamp,
     engines: BTreeMap<Name, EngineState>,
 }
 
 impl RolloutPlanner {
     /// Builds a planner without engines and without a target.
     pub fn new(settings: RolloutSettings) -> Self {
-        Self { settings, target: None, heard_at: Timestamp::default(), engines: BTreeMap::new() }
+        Self { settings, target: None, target_received_at: Timestamp::default(), engines: BTreeMap::new() }
     }
 
-    /// Returns the target that is in force.
+    /// Returns the current target.
     pub fn target(&self) -> Option<&WeightTarget> {
         self.target.as_ref()
     }
 
-    /// Returns whether an order to `engine` is out, so that it should get no new work.
+    /// Returns whether an order to `engine` is pending, so that it should get no new work.
     pub fn is_swapping(&self, engine: &str) -> bool {
         self.engines.get(engine).is_some_and(|state| state.ordered_at.is_some())
     }
 
-    /// Returns the version that `engine` last said it holds.
-    pub fn held(&self, engine: &str) -> Option<WeightVersion> {
-        self.engines.get(engine).and_then(|state| state.held)
+    /// Returns the loaded version that `engine` last reported.
+    pub fn loaded_version(&self, engine: &str) -> Option<WeightVersion> {
+        self.engines.get(engine).and_then(|state| state.loaded_version)
     }
 
     /// Returns the progress of every engine.
     pub fn progress(&self) -> BTreeMap<Name, EngineRollout> {
         let report = |state: &EngineState| EngineRollout {
-            held: state.held,
+            loaded_version: state.loaded_version,
             failures: state.failures,
-            ordered: state.ordered_at.is_some(),
-            set_aside: state.failures >= self.settings.max_failures,
+            is_order_pending: state.ordered_at.is_some(),
+            is_cooling_down: state.failures >= self.settings.max_failures,
         };
         self.engines.iter().map(|(name, state)| (name.clone(), report(state))).collect()
     }
@@ -172,7 +180,7 @@
         match event {
             RolloutEvent::Engines(engines) => self.replace_engines(engines),
             RolloutEvent::Target(target) => self.replace_target(now, target),
-            RolloutEvent::Held { engine, version } => self.record_held(&engine, version),
+            RolloutEvent::VersionReported { engine, version } => self.record_version(&engine, version),
             RolloutEvent::OrderFailed { engine } => self.record_failure(now, &engine),
             RolloutEvent::Tick => self.expire_orders(now),
         }
@@ -190,22 +198,22 @@
     }
 
     fn replace_target(&mut self, now: Timestamp, target: WeightTarget) {
-        if self.target.as_ref().is_some_and(|held| !target.supersedes(held)) {
+        if self.target.as_ref().is_some_and(|current| !target.supersedes(current)) {
             return;
         }
-        if self.target.as_ref().is_none_or(|held| held.version != target.version) {
+        if self.target.as_ref().is_none_or(|current| current.version != target.version) {
             for state in self.engines.values_mut() {
                 state.failures = 0;
                 state.not_before = Timestamp::default();
             }
         }
         self.target = Some(target);
-        self.heard_at = now;
+        self.target_received_at = now;
     }
 
-    fn record_held(&mut self, engine: &str, version: WeightVersion) {
+    fn record_version(&mut self, engine: &str, version: WeightVersion) {
         let Some(state) = self.engines.get_mut(engine) else { return };
-        state.held = Some(version);
+        state.loaded_version = Some(version);
         if self.target.as_ref().is_some_and(|target| version >= target.version) {
             state.ordered_at = None;
             state.failures = 0;
@@ -216,19 +224,19 @@
         let Some(state) = self.engines.get_mut(engine) else { return };
         state.ordered_at = None;
         state.failures = (state.failures + 1).min(self.settings.max_failures);
-        let wait = if state.failures >= self.settings.max_failures {
-            self.settings.set_aside
+        let delay = if state.failures >= self.settings.max_failures {
+            self.settings.failure_cooldown
         } else {
-            self.settings.retry_wait * 2_u32.pow(state.failures - 1)
+            self.settings.first_backoff * 2_u32.pow(state.failures - 1)
         };
-        state.not_before = now + wait;
+        state.not_before = now + delay;
     }
 
     fn expire_orders(&mut self, now: Timestamp) {
-        let limit = self.settings.order_timeout;
-        let lost = |state: &EngineState| state.ordered_at.is_some_and(|at| now.since(at) >= limit);
+        let timeout = self.settings.order_timeout;
+        let is_expired = |state: &EngineState| state.ordered_at.is_some_and(|at| now.since(at) >= timeout);
         let expired: Vec<Name> =
-            self.engines.iter().filter(|(_, state)| lost(state)).map(|(name, _)| name.clone()).collect();
+            self.engines.iter().filter(|(_, state)| is_expired(state)).map(|(name, _)| name.clone()).collect();
         for engine in expired {
             self.record_failure(now, &engine);
         }
@@ -236,33 +244,33 @@
 
     fn next_orders(&mut self, now: Timestamp) -> Vec<EngineOrder> {
         let Some(target) = self.target.clone() else { return Vec::new() };
-        if now.since(self.heard_at) >= self.settings.target_ttl {
+        if now.since(self.target_received_at) >= self.settings.target_ttl {
             return Vec::new();
         }
-        let mut free = self.allowed_swaps(target.serving_percent).saturating_sub(self.swapping());
+        let mut remaining = self.allowed_swaps(target.serving_percent).saturating_sub(self.swapping_engines());
         let mut orders = Vec::new();
         for (name, state) in &mut self.engines {
-            let behind = state.held.is_none_or(|held| held < target.version);
-            let may_order = target.quiet_over || state.checks_fencing;
-            if free == 0 || !may_order || !behind || state.ordered_at.is_some() || now < state.not_before {
+            let is_behind = state.loaded_version.is_none_or(|version| version < target.version);
+            let may_order = target.is_handover_complete || state.checks_fencing;
+            if remaining == 0 || !may_order || !is_behind || state.ordered_at.is_some() || now < state.not_before {
                 continue;
             }
             state.ordered_at = Some(now);
-            free -= 1;
+            remaining -= 1;
             orders.push(EngineOrder { engine: name.clone(), version: target.version, fence: target.fence });
         }
         orders
     }
 
-    /// Returns how many engines may swap together. At least one may, or a model with a single
-    /// engine could never be updated.
+    /// Returns how many engines may swap at the same time. It is at least one, since a model with a single
+    /// engine could not be updated otherwise.
     fn allowed_swaps(&self, serving_percent: u32) -> usize {
         let engines = self.engines.len();
         let serving = (engines * serving_percent as usize).div_ceil(100);
         engines.saturating_sub(serving).max(1)
     }
 
-    fn swapping(&self) -> usize {
+    fn swapping_engines(&self) -> usize {
         self.engines.values().filter(|state| state.ordered_at.is_some()).count()
     }
 }
--- a/crates/trestlerack/src/version/routing.rs
+++ b/crates/trestlerack/src/version/routing.rs
@@ -1,4 +1,4 @@
-//! Routes requests by host and path prefix to services, as the newest configuration says.
+//! Routes requests to services by host and path prefix.
 
 use crate::Name;
 use crate::hash::hash_parts;
@@ -7,18 +7,18 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Whether a request may be sent to a second backend server once it may have run.
+/// How often the requests of a route may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
-    /// Idempotent: it may run more than once.
+    /// The request is idempotent and may run more than once.
     Safe,
-    /// It may run at most once.
+    /// The request may run at most once, so it is not sent to a second server once it may have run.
     Unsafe,
-    /// Carries batch jobs.
+    /// The route carries batch jobs.
     Batch,
 }
 
-/// A share of a route's requests that goes to one service.
+/// The share of a route's requests that goes to one service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SplitShare {
     /// Service that receives the share.
@@ -36,29 +36,29 @@
     pub host: Name,
     /// Path prefix; begins and ends with a slash.
     pub prefix: Name,
-    /// What may be repeated.
+    /// How often the requests may run.
     pub kind: RouteKind,
-    /// Whether answers are event streams that are relayed as they arrive.
+    /// Whether responses are event streams that are relayed as they arrive.
     pub streaming: bool,
     /// Whether a broken stream may be resumed at another backend server.
     pub resumable: bool,
-    /// Whether all events of one answer must come from one weight version.
+    /// Whether all events of one response must come from one weight version.
     pub single_version: bool,
     /// Longest time that a request is kept waiting, in milliseconds; 0 for no limit.
     pub timeout_ms: u64,
-    /// Time within which an answer is on time, in milliseconds.
+    /// Longest time in which a response counts as on time, in milliseconds.
     pub target_latency_ms: u64,
     /// Time after submission by which a batch job's results are due, in milliseconds.
     pub due_ms: u64,
     /// Time after submission at which an unfinished item may be given up, in milliseconds.
     pub give_up_ms: u64,
-    /// Rank; 0 is served first.
+    /// Priority of the requests; 0 is served first.
     pub priority: u8,
-    /// Whether callers without a key are served too.
+    /// Whether callers without a key are served.
     pub is_public: bool,
-    /// Most backend servers that one attempt of a client may be sent to.
+    /// Largest number of backend servers to which one request of a client may be sent.
     pub max_attempts: u32,
-    /// Services and their shares; one share for a route that is not split.
+    /// Services with their shares; a single one if the route is not split.
     pub shares: Vec<SplitShare>,
 }
 
@@ -69,13 +69,13 @@
         if total == 0 {
             return self.shares.first().map(|share| &share.service);
         }
-        let mut point = hash_parts(&[&self.name, request_id]) % total;
+        let mut position = hash_parts(&[&self.name, request_id]) % total;
         for share in &self.shares {
             let weight = u64::from(share.weight);
-            if point < weight {
+            if position < weight {
                 return Some(&share.service);
             }
-            point -= weight;
+            position -= weight;
         }
         None
     }
@@ -90,11 +90,11 @@
     pub max_connections: u32,
     /// Requests that a model engine runs at once; 0 for a plain service.
     pub engine_slots: u32,
-    /// Tokens that the memory of a model engine holds; 0 if that is not known.
+    /// Number of tokens that fit into the memory of a model engine; 0 if unknown.
     pub engine_tokens: u64,
-    /// Models that the engines of the service hold.
+    /// Models that the engines of the service can load.
     pub models: Vec<Name>,
-    /// What may be ordered of its engines; `None` if nothing.
+    /// Terms on which its engines may be scaled; `None` if they may not be.
     pub scaling: Option<ScalingTerms>,
 }
 
@@ -111,18 +111,18 @@
     pub idle_timeout_ms: u64,
 }
 
-/// One version of the routing configuration.
+/// One version of the routes, services, client limits and customers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoutingTable {
-    /// Version; only a higher one replaces it.
+    /// Version of the table, which only a table with a higher version replaces.
     pub version: u64,
-    /// Routes, longest prefix first within a host.
+    /// Routes by host, longest prefix first.
     routes: BTreeMap<Name, Vec<RequestRoute>>,
     /// Services by name.
     pub services: BTreeMap<Name, RoutedService>,
     /// Limits on what clients send.
     pub limits: ClientLimits,
-    /// Customers; `None` where everybody is served without a key.
+    /// Customers; `None` if every caller is served without a key.
     pub customers: Option<CustomerDirectory>,
 }
 
@@ -140,12 +140,13 @@
         Self { version, routes: by_host, services, limits, customers: None }
     }
 
-    /// Returns the table with customers, without whose keys nobody is served any more.
+    /// Returns the table with customers, so that only callers with a customer's key are served, except on
+    /// public routes.
     pub fn with_customers(self, customers: CustomerDirectory) -> Self {
         Self { customers: Some(customers), ..self }
     }
 
-    /// Returns the route with the longest prefix of `path` at `host`.
+    /// Returns the route of `host` whose prefix is the longest one that matches `path`.
     pub fn select(&self, host: &str, path: &str) -> Option<&RequestRoute> {
         self.routes.get(host)?.iter().find(|route| path.starts_with(&*route.prefix))
     }
@@ -157,6 +158,6 @@
 
     /// Returns the service that serves `model`.
     pub fn service_of_model(&self, model: &str) -> Option<&RoutedService> {
-        self.services.values().find(|service| service.models.iter().any(|held| &**held == model))
+        self.services.values().find(|service| service.models.iter().any(|served| &**served == model))
     }
 }
--- a/crates/trestlerack/src/version/staleness.rs
+++ b/crates/trestlerack/src/version/staleness.rs
@@ -1,14 +1,14 @@
-//! How old a sample may be when its trainer consumes it.
+//! Bounds the age of a sample at the training step that consumes it.
 
 use serde::{Deserialize, Serialize};
 
-/// A weight version; trainers number them and they only grow.
+/// A weight version. Trainers assign the numbers, which only increase.
 pub type WeightVersion = u64;
 
 /// The age of a sample at the step that consumes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SampleAge {
-    /// Trainer's version at the consuming step minus the oldest version in the sample.
+    /// Trainer's weight version at the consuming step, minus the oldest version in the sample.
     pub versions: u64,
     /// Seconds between the sample's first token and now.
     pub seconds: u64,
@@ -16,7 +16,7 @@
 
 /// The bound that a campaign sets on the age of its samples.
 ///
-/// It is applied three times: projected at dispatch, exact at sealing and again at delivery
+/// It is applied three times: to the projected age at dispatch, and to the exact age at sealing and at delivery
 /// ([docs/DESIGN.md](../../../../docs/DESIGN.md#staleness)).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StalenessRule {
--- a/crates/trestlerack/tests/configuration.rs
+++ b/crates/trestlerack/tests/configuration.rs
@@ -1,4 +1,5 @@
-//! An accepted configuration takes effect everywhere and never reverts, whoever races whom.
+//! An accepted configuration change reaches every node and is never reverted, under concurrent operators, node
+//! failures and store faults.
 
 mod support;
 
@@ -10,70 +11,70 @@
 use support::{FakeStore, FaultPlan, SOUND, Scheduler, UNSOUND, block_on, count_failures, for_seeds};
 use trestlerack::Name;
 use trestlerack::version::{
-    CommitTry, ConfigDelta, ConfigFollower, ConfigStore, Configuration, Confirmation, Declaration, FollowEvent, Zone,
-    plan_change,
+    ConfigDelta, ConfigFollower, ConfigStore, Configuration, Declaration, FollowEvent, PlanCommit, PlanConfirmation,
+    Zone, plan_change,
 };
 
-const TRIES: usize = 30;
+const MAX_ATTEMPTS: usize = 30;
 
 fn declaration(scope: &str, zone: &str) -> Declaration {
     let zones = vec![Zone { name: format!("{scope}-{zone}").into(), region: "hokkaido".into() }];
     Declaration { scope: scope.into(), zones, backends: vec![], users: vec![], campaigns: vec![] }
 }
 
-/// A confirmation that an operator saw accepted: the scope, what it was made from, and where it
-/// came to stand.
+/// A change whose confirmation was accepted: its scope, the generation on which its plan was based, and the
+/// generation that it became.
 #[derive(Clone, Debug)]
-struct Accepted {
+struct AcceptedChange {
     scope: Name,
-    made_from: u64,
+    base_generation: u64,
     generation: u64,
     operation: Name,
 }
 
-/// An operator at one node: plans once, then confirms until it hears a verdict.
-async fn operate(store: &FakeStore, scope: &str, number: usize, accepted: &Mutex<Vec<Accepted>>) {
+/// Runs an operator at one node, which makes one plan and confirms it until the result is known.
+async fn operate(store: &FakeStore, scope: &str, number: usize, accepted: &Mutex<Vec<AcceptedChange>>) {
     let config = ConfigStore::new(store, store);
     let mut follower = ConfigFollower::default();
     let declaration = declaration(scope, &format!("zone-{number}"));
     let mut plan = None;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let before = follower.current().generation;
         let _ = config.catch_up(&mut follower).await;
-        assert!(follower.current().generation >= before, "a node never goes back");
-        let held = follower.current().clone();
-        let plan = plan.get_or_insert_with(|| plan_change(&held, &declaration).unwrap());
+        assert!(follower.current().generation >= before, "a node never returns to an older generation");
+        let current = follower.current().clone();
+        let plan = plan.get_or_insert_with(|| plan_change(&current, &declaration).unwrap());
         let operation: Name = format!("operator-{number}").into();
-        let confirmation = Confirmation {
+        let confirmation = PlanConfirmation {
             declaration: &declaration,
-            made_from: plan.made_from,
+            base_generation: plan.base_generation,
             digest: &plan.digest,
             operation: operation.clone(),
         };
-        match config.try_commit(&held, &confirmation).await {
-            Ok(CommitTry::Committed(delta)) => {
-                let entry = Accepted {
+        match config.try_commit(&current, &confirmation).await {
+            Ok(PlanCommit::Committed(delta)) => {
+                let change = AcceptedChange {
                     scope: scope.into(),
-                    made_from: plan.made_from,
+                    base_generation: plan.base_generation,
                     generation: delta.generation,
                     operation,
                 };
-                return accepted.lock().unwrap().push(entry);
+                return accepted.lock().unwrap().push(change);
             }
-            Ok(CommitTry::OutOfDate | CommitTry::Unchanged) => return,
-            Ok(CommitTry::Invalid(cause)) => panic!("{cause}"),
-            Ok(CommitTry::Behind) | Err(_) => {}
+            Ok(PlanCommit::Outdated | PlanCommit::Unchanged) => return,
+            Ok(PlanCommit::Invalid(cause)) => panic!("{cause}"),
+            Ok(PlanCommit::Behind) | Err(_) => {}
         }
     }
 }
 
-fn chain(store: &FakeStore) -> BTreeMap<u64, ConfigDelta> {
+fn stored_deltas(store: &FakeStore) -> BTreeMap<u64, ConfigDelta> {
     let rows = store.rows("config/change/");
     let deltas = rows.into_iter().map(|row| serde_json::from_value::<ConfigDelta>(row.value).unwrap());
     deltas.map(|delta| (delta.generation, delta)).collect()
 }
 
-fn race(seed: u64, plan: FaultPlan) {
+fn check_concurrent_operators(seed: u64, plan: FaultPlan) {
     let store = FakeStore::new(seed, plan);
     let accepted = Mutex::new(Vec::new());
     let mut scheduler = Scheduler::new(seed, 3);
@@ -82,24 +83,26 @@
     }
     scheduler.run();
     store.heal();
-    let chain = chain(&store);
-    for (expected, generation) in chain.keys().enumerate() {
+    let deltas = stored_deltas(&store);
+    for (expected, generation) in deltas.keys().enumerate() {
         assert_eq!(*generation, expected as u64 + 1, "generations have no gaps");
     }
     let accepted = accepted.into_inner().unwrap();
-    for entry in &accepted {
-        let delta = chain.get(&entry.generation).expect("an accepted change stands");
-        assert_eq!(delta.operation, entry.operation, "an accepted change is never replaced");
-        let rivals = accepted.iter().filter(|other| (&other.scope, other.made_from) == (&entry.scope, entry.made_from));
-        assert_eq!(rivals.count(), 1, "of the plans made from one generation of a scope, one is accepted");
+    for change in &accepted {
+        let delta = deltas.get(&change.generation).expect("an accepted change is stored");
+        assert_eq!(delta.operation, change.operation, "an accepted change is never replaced");
+        let competing = accepted
+            .iter()
+            .filter(|other| (&other.scope, other.base_generation) == (&change.scope, change.base_generation));
+        assert_eq!(competing.count(), 1, "only one of the plans with the same base generation and scope is accepted");
     }
-    check_followers(seed, &chain);
+    check_followers(seed, &deltas);
 }
 
-/// Delivers the chain to a follower in any order, repeated and with old snapshots between.
-fn check_followers(seed: u64, chain: &BTreeMap<u64, ConfigDelta>) {
+/// Delivers the stored deltas to a follower in random order, repeatedly and mixed with old snapshots.
+fn check_followers(seed: u64, stored: &BTreeMap<u64, ConfigDelta>) {
     let mut states = vec![Configuration::default()];
-    for delta in chain.values() {
+    for delta in stored.values() {
         let mut next = states.last().unwrap().clone();
         assert!(next.apply(delta));
         states.push(next);
@@ -108,49 +111,52 @@
     let mut follower = ConfigFollower::default();
     for _ in 0..30 {
         let before = follower.current().generation;
-        let mut deltas: Vec<ConfigDelta> = chain.values().cloned().collect();
+        let mut deltas: Vec<ConfigDelta> = stored.values().cloned().collect();
         deltas.shuffle(&mut random);
         deltas.truncate(random.random_range(0..=deltas.len()));
         let snapshot = states[random.random_range(0..states.len())].clone();
         let is_snapshot = random.random_ratio(1, 4);
         let event = if is_snapshot { FollowEvent::Snapshot(snapshot) } else { FollowEvent::Deltas(deltas) };
         let _ = follower.handle(event);
-        let now = follower.current();
-        assert!(now.generation >= before, "a node never goes back");
-        assert_eq!(**now, states[now.generation as usize], "a node holds exactly some generation");
+        let current = follower.current();
+        assert!(current.generation >= before, "a node never returns to an older generation");
+        assert_eq!(
+            **current, states[current.generation as usize],
+            "the configuration of a node equals one of the generations"
+        );
     }
 }
 
 #[test]
-fn an_accepted_change_stands_whoever_races_and_dies() {
-    for_seeds(400, |seed| race(seed, SOUND));
+fn accepted_changes_survive_concurrent_operators_and_failures() {
+    for_seeds(400, |seed| check_concurrent_operators(seed, SOUND));
 }
 
 #[test]
-fn the_checker_notices_a_store_that_ignores_preconditions() {
-    assert!(count_failures(200, |seed| race(seed, UNSOUND)) > 0);
+fn the_check_fails_with_a_store_that_ignores_preconditions() {
+    assert!(count_failures(200, |seed| check_concurrent_operators(seed, UNSOUND)) > 0);
 }
 
 #[test]
-fn a_starting_node_catches_up_over_a_snapshot() {
+fn a_starting_node_catches_up_from_a_snapshot() {
     let store = FakeStore::new(1, FaultPlan { percent: 0, ignores_preconditions: false });
     let config = ConfigStore::new(&store, &store);
     let mut writer = ConfigFollower::default();
     for number in 0..150 {
         let declaration = declaration("kitamura", &format!("zone-{number}"));
         let plan = plan_change(writer.current(), &declaration).unwrap();
-        let confirmation = Confirmation {
+        let confirmation = PlanConfirmation {
             declaration: &declaration,
-            made_from: plan.made_from,
+            base_generation: plan.base_generation,
             digest: &plan.digest,
             operation: format!("operation-{number}").into(),
         };
         let outcome = block_on(config.try_commit(writer.current(), &confirmation)).unwrap();
-        assert!(matches!(outcome, CommitTry::Committed(_)));
+        assert!(matches!(outcome, PlanCommit::Committed(_)));
         block_on(config.catch_up(&mut writer)).unwrap();
     }
     let mut fresh = ConfigFollower::default();
-    let events = block_on(config.missing(0)).unwrap();
+    let events = block_on(config.events_after(0)).unwrap();
     assert!(matches!(events[0], FollowEvent::Snapshot(_)), "a snapshot comes first");
     for event in events {
         let _ = fresh.handle(event);
--- a/crates/trestlerack/tests/customers.rs
+++ b/crates/trestlerack/tests/customers.rs
@@ -1,8 +1,11 @@
-//! Customers: who holds a key, what each caller may see, and how often unknown keys cost a read.
+//! Identification of callers by their keys, their access to jobs, and the limit on reads because of unknown
+//! keys.
 
 use bolero::check;
 use std::time::Duration;
-use trestlerack::version::{CallerCredential, CallerVerdict, Customer, CustomerDirectory, CustomerKey, RefreshGate};
+use trestlerack::version::{
+    CallerCredential, CallerIdentity, Customer, CustomerDirectory, CustomerKey, RefreshLimiter,
+};
 use trestlerack::{Name, Timestamp};
 
 fn directory() -> CustomerDirectory {
@@ -14,72 +17,81 @@
     directory
 }
 
-fn shown(key: &str) -> CallerCredential {
+fn credential(key: &str) -> CallerCredential {
     CallerCredential::Key(CustomerKey::new(key))
 }
 
 #[test]
-fn a_key_belongs_to_its_customer_and_what_is_no_key_to_nobody() {
+fn only_the_exact_key_identifies_its_customer() {
     let directory = directory();
-    let holder = |credential: &CallerCredential| directory.holder(credential).map(|found| found.name.to_string());
-    assert_eq!(holder(&shown("k-one")), Some("wash".into()));
-    assert_eq!(holder(&shown("k-two")), Some("wash".into()));
-    assert_eq!(holder(&shown("k-three")), Some("pension".into()));
-    for credential in
-        [shown("k-on"), shown("k-one "), shown(""), CallerCredential::Missing, CallerCredential::Malformed]
-    {
-        assert_eq!(holder(&credential), None, "{credential:?}");
+    let customer_of = |credential: &CallerCredential| directory.find(credential).map(|found| found.name.to_string());
+    assert_eq!(customer_of(&credential("k-one")), Some("wash".into()));
+    assert_eq!(customer_of(&credential("k-two")), Some("wash".into()));
+    assert_eq!(customer_of(&credential("k-three")), Some("pension".into()));
+    for credential in [
+        credential("k-on"),
+        credential("k-one "),
+        credential(""),
+        CallerCredential::Missing,
+        CallerCredential::Malformed,
+    ] {
+        assert_eq!(customer_of(&credential), None, "{credential:?}");
     }
 }
 
 #[test]
-fn callers_are_judged_by_the_customers_of_the_configuration() {
+fn callers_are_identified_by_the_customers_of_the_configuration() {
     let directory = directory();
-    let judge =
-        |is_public, credential: &CallerCredential| CallerVerdict::judge(Some(&directory), is_public, credential);
-    let name = |verdict: CallerVerdict| verdict.customer().map(|customer| customer.name.to_string());
+    let identify =
+        |is_public, credential: &CallerCredential| CallerIdentity::identify(Some(&directory), is_public, credential);
+    let name = |caller: CallerIdentity| caller.customer().map(|customer| customer.name.to_string());
     for is_public in [false, true] {
-        assert_eq!(name(judge(is_public, &shown("k-two"))), Some("wash".into()));
-        assert_eq!(judge(is_public, &shown("gone")), CallerVerdict::Unknown);
-        assert_eq!(judge(is_public, &CallerCredential::Malformed), CallerVerdict::Unknown);
-        assert_eq!(CallerVerdict::judge(None, is_public, &shown("gone")), CallerVerdict::Open);
+        assert_eq!(name(identify(is_public, &credential("k-two"))), Some("wash".into()));
+        assert_eq!(identify(is_public, &credential("gone")), CallerIdentity::Unknown);
+        assert_eq!(identify(is_public, &CallerCredential::Malformed), CallerIdentity::Unknown);
+        assert_eq!(CallerIdentity::identify(None, is_public, &credential("gone")), CallerIdentity::Unrestricted);
     }
-    assert_eq!(judge(true, &CallerCredential::Missing), CallerVerdict::Anonymous);
-    assert_eq!(judge(false, &CallerCredential::Missing), CallerVerdict::Unknown);
-    let nobody = CustomerDirectory::default();
-    assert_eq!(CallerVerdict::judge(Some(&nobody), false, &shown("k-one")), CallerVerdict::Unknown);
+    assert_eq!(identify(true, &CallerCredential::Missing), CallerIdentity::Anonymous);
+    assert_eq!(identify(false, &CallerCredential::Missing), CallerIdentity::Unknown);
+    let no_customers = CustomerDirectory::default();
+    assert_eq!(CallerIdentity::identify(Some(&no_customers), false, &credential("k-one")), CallerIdentity::Unknown);
 }
 
 #[test]
-fn only_its_customer_sees_a_job_whatever_key_it_brings() {
+fn a_job_is_accessible_with_any_key_of_its_customer_and_no_other() {
     let directory = directory();
-    let by = |credential: &CallerCredential| CallerVerdict::judge(Some(&directory), true, credential);
+    let caller = |credential: &CallerCredential| CallerIdentity::identify(Some(&directory), true, credential);
     let wash: Name = "wash".into();
-    assert!(by(&shown("k-one")).may_see(Some(&wash)) && by(&shown("k-two")).may_see(Some(&wash)));
-    assert!(!by(&shown("k-three")).may_see(Some(&wash)));
-    assert!(!by(&CallerCredential::Missing).may_see(Some(&wash)));
-    assert!(!by(&shown("gone")).may_see(None), "a key that nobody holds opens nothing");
-    assert!(by(&CallerCredential::Missing).may_see(None) && CallerVerdict::Open.may_see(Some(&wash)));
+    assert!(
+        caller(&credential("k-one")).may_access(Some(&wash)) && caller(&credential("k-two")).may_access(Some(&wash))
+    );
+    assert!(!caller(&credential("k-three")).may_access(Some(&wash)));
+    assert!(!caller(&CallerCredential::Missing).may_access(Some(&wash)));
+    assert!(!caller(&credential("gone")).may_access(None), "an unknown key gives no access");
+    assert!(
+        caller(&CallerCredential::Missing).may_access(None) && CallerIdentity::Unrestricted.may_access(Some(&wash))
+    );
 }
 
 #[test]
-fn no_key_is_printed() {
-    let texts = [format!("{:?}", shown("k-one")), format!("{:?}", directory())];
+fn keys_are_redacted_in_debug_output() {
+    let texts = [format!("{:?}", credential("k-one")), format!("{:?}", directory())];
     for text in texts {
         assert!(!text.contains("k-one") && text.to_lowercase().contains("redacted"), "{text}");
     }
 }
 
-/// 10,000 bad keys a second at each of 300 nodes, at any moments: a node reads once a second at most.
+/// A node that receives 10,000 requests a second with unknown keys, at random times, reads the configuration at
+/// most once a second. 300 random sequences of times are tried.
 #[test]
-fn a_storm_of_bad_keys_is_no_storm_at_the_store() {
+fn many_unknown_keys_cause_at_most_one_read_per_interval() {
     const SECONDS: u64 = 3;
     check!().with_type::<[u8; 16]>().with_iterations(300).for_each(|offsets| {
-        let mut gate = RefreshGate::new(Duration::from_secs(1));
+        let mut limiter = RefreshLimiter::new(Duration::from_secs(1));
         let mut starts: Vec<u64> = Vec::new();
         for call in 0..SECONDS * 10_000 {
             let at = call / 10 + u64::from(offsets[(call % 16) as usize]) / 64;
-            if gate.try_start(Timestamp(at)) {
+            if limiter.try_start(Timestamp(at)) {
                 starts.push(at);
             }
         }
--- a/crates/trestlerack/tests/printed_texts.rs
+++ b/crates/trestlerack/tests/printed_texts.rs
@@ -14,7 +14,7 @@
 fn the_outcome_of_an_order_keeps_its_texts() {
     let outcomes = [
         OrderOutcome::Accepted,
-        OrderOutcome::Held,
+        OrderOutcome::AlreadyLoaded,
         OrderOutcome::Refused,
         OrderOutcome::Unknown,
         OrderOutcome::NotSent,
--- a/crates/trestlerackd/src/entry/callers.rs
+++ b/crates/trestlerackd/src/entry/callers.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
-use trestlerack::version::{CallerCredential, CallerVerdict, RefreshGate, RoutingTable};
+use trestlerack::version::{CallerCredential, CallerIdentity, RefreshLimiter, RoutingTable};
 
 /// Time between two reads of the configuration for keys that are not known. A thousand nodes under a
 /// storm of bad keys then make a thousand reads a second, half of what the smallest store takes.
@@ -19,7 +19,7 @@
 /// Reads the configuration again for keys that are not known, for one caller at a time.
 #[derive(Debug)]
 pub struct KeyRefresh {
-    gate: std::sync::Mutex<RefreshGate>,
+    gate: std::sync::Mutex<RefreshLimiter>,
     /// Held while a read is on its way, so that others wait for it.
     flight: tokio::sync::Mutex<()>,
     /// Whether the last read succeeded.
@@ -29,7 +29,7 @@
 impl Default for KeyRefresh {
     fn default() -> Self {
         Self {
-            gate: std::sync::Mutex::new(RefreshGate::new(REFRESH_INTERVAL)),
+            gate: std::sync::Mutex::new(RefreshLimiter::new(REFRESH_INTERVAL)),
             flight: tokio::sync::Mutex::default(),
             is_fresh: AtomicBool::new(false),
         }
@@ -39,7 +39,7 @@
 /// Who calls, or why that cannot be told.
 pub enum CallerAnswer {
     /// Serve the request for this caller.
-    Serve(CallerVerdict),
+    Serve(CallerIdentity),
     /// No customer holds the key, as of a configuration that was just read.
     Denied,
     /// The key may be newer than the configuration in force here, and the store does not answer.
@@ -54,16 +54,16 @@
     is_public: bool,
     credential: &CallerCredential,
 ) -> CallerAnswer {
-    let verdict = CallerVerdict::judge(routing.customers.as_ref(), is_public, credential);
-    if verdict != CallerVerdict::Unknown {
+    let verdict = CallerIdentity::identify(routing.customers.as_ref(), is_public, credential);
+    if verdict != CallerIdentity::Unknown {
         return CallerAnswer::Serve(verdict);
     }
     let is_fresh = refresh(node).await;
     let newest = node.routing();
     let customers = newest.as_ref().and_then(|routing| routing.customers.as_ref());
-    match CallerVerdict::judge(customers, is_public, credential) {
-        CallerVerdict::Unknown if is_fresh => CallerAnswer::Denied,
-        CallerVerdict::Unknown => CallerAnswer::Unsure,
+    match CallerIdentity::identify(customers, is_public, credential) {
+        CallerIdentity::Unknown if is_fresh => CallerAnswer::Denied,
+        CallerIdentity::Unknown => CallerAnswer::Unsure,
         verdict => CallerAnswer::Serve(verdict),
     }
 }
--- a/crates/trestlerackd/src/entry/engine_calls.rs
+++ b/crates/trestlerackd/src/entry/engine_calls.rs
@@ -40,7 +40,7 @@
     let Ok(request) = platform::encode_order(&wire) else { return OrderOutcome::NotSent };
     match ask_engine(node, entry, request).await {
         Ok((StatusCode::ACCEPTED, _)) => OrderOutcome::Accepted,
-        Ok((StatusCode::OK, _)) => OrderOutcome::Held,
+        Ok((StatusCode::OK, _)) => OrderOutcome::AlreadyLoaded,
         Ok((status, _)) if status.is_client_error() => OrderOutcome::Refused,
         Ok(_) => OrderOutcome::Unknown,
         Err(ExchangeError::NotSent(_)) => OrderOutcome::NotSent,
--- a/crates/trestlerackd/src/entry/front.rs
+++ b/crates/trestlerackd/src/entry/front.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 use trestlerack::process::{MemoryPurpose, MemoryReservation};
 use trestlerack::request::{RequestContent, RequestFingerprint};
-use trestlerack::version::{CallerCredential, CallerVerdict, RouteKind, RoutingTable};
+use trestlerack::version::{CallerCredential, CallerIdentity, RouteKind, RoutingTable};
 use trestlerack::{Name, event};
 use trestlerack_platform::{self as platform, ClientHead, FrontCall};
 
@@ -54,7 +54,7 @@
     /// What the headers say.
     pub head: ClientHead,
     /// Who it is served for.
-    pub caller: CallerVerdict,
+    pub caller: CallerIdentity,
     /// Body.
     pub body: Bytes,
     /// Count of the bytes of the body, which are given back with the request.
@@ -112,7 +112,7 @@
         method: parts.method,
         headers: parts.headers,
         head,
-        caller: CallerVerdict::Unknown,
+        caller: CallerIdentity::Unknown,
         body: Bytes::new(),
         held: node.held.ledger.reserve(MemoryPurpose::Bodies, 0),
     };
--- a/crates/trestlerackd/src/entry/job_calls.rs
+++ b/crates/trestlerackd/src/entry/job_calls.rs
@@ -43,7 +43,7 @@
 /// unknown.
 async fn find_own_job(node: &Arc<EntryNode>, job: &Name, request: &ClientRequest) -> Result<JobView, JobDoubt> {
     let view = find_job(node, job).await?;
-    if request.caller.may_see(view.head.customer.as_ref()) { Ok(view) } else { Err(JobDoubt::Missing) }
+    if request.caller.may_access(view.head.customer.as_ref()) { Ok(view) } else { Err(JobDoubt::Missing) }
 }
 
 /// Finds a job, in the store if this node does not know it.
--- a/crates/trestlerackd/src/entry/weights.rs
+++ b/crates/trestlerackd/src/entry/weights.rs
@@ -13,8 +13,8 @@
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall};
 use trestlerack::time::millis;
 use trestlerack::version::{
-    DueOrder, EngineAssignment, LIST_LAG, OrderOutcome, RequestRoute, RoutedService, RoutingTable, WeightPlan,
-    WeightPlanSettings, engines_needed,
+    DueOrder, EngineAssignment, MAX_HEARTBEAT_LAG, OrderOutcome, RequestRoute, RoutedService, RoutingTable,
+    WeightScheduler, WeightSchedulerSettings, engines_needed,
 };
 use trestlerack::{Name, Timestamp, event};
 use trestlerack_platform::EngineReport;
@@ -28,7 +28,7 @@
 
 /// The plan of a service's weights, and as of when it knows the engines.
 pub struct ServicePlan {
-    plan: WeightPlan,
+    plan: WeightScheduler,
     synced_at: Option<Timestamp>,
     /// Changes of the registry that it has seen.
     changes: u64,
@@ -98,7 +98,7 @@
         let terms = OrderTerms { fence, load_time: plan.load_time(), waits_for_runs };
         for order in orders {
             let Some(engine) = node.registry.lock().unwrap().get(&order.instance).cloned() else {
-                plan.unreachable(node.now(), &order.instance);
+                plan.record_unreachable(node.now(), &order.instance);
                 continue;
             };
             match order.orders_before {
@@ -129,7 +129,7 @@
 
 impl ServicePlan {
     fn new(settings: &EntrySettings) -> Self {
-        Self { plan: WeightPlan::new(plan_settings(settings)), synced_at: None, changes: 0 }
+        Self { plan: WeightScheduler::new(plan_settings(settings)), synced_at: None, changes: 0 }
     }
 }
 
@@ -152,8 +152,8 @@
     let plan = &mut service_plan.plan;
     let named = node.weights.named_versions();
     for (model, version) in named.iter().filter(|(model, _)| service.models.contains(model)) {
-        plan.target(model, *version);
-        plan.allow_lag(model, node.accepted_lag(model));
+        plan.raise_target(model, *version);
+        plan.set_accepted_lag(model, node.accepted_lag(model));
     }
     let now = node.now();
     let decided = {
@@ -167,7 +167,7 @@
             registry.of_service(&service.name).filter(|entry| !entry.is_draining).collect();
         let slots = engines.iter().map(|entry| entry.slots).min().unwrap_or(0);
         for model in &service.models {
-            plan.need(model, engines_needed(node.open_items(model), slots));
+            plan.set_needed_engines(model, engines_needed(node.open_items(model), slots));
         }
         plan.sync(now, &service.models, &engines, &node.weights.assignments())
     };
@@ -227,11 +227,11 @@
     }
 }
 
-fn note_report(now: Timestamp, plan: &mut WeightPlan, order: &DueOrder, report: Option<EngineReport>) {
-    let Some(report) = report else { return plan.unreachable(now, &order.instance) };
+fn note_report(now: Timestamp, plan: &mut WeightScheduler, order: &DueOrder, report: Option<EngineReport>) {
+    let Some(report) = report else { return plan.record_unreachable(now, &order.instance) };
     let held = report.models.iter().find(|(model, _)| *model == order.model);
     let version = held.map_or(0, |(_, version)| *version);
-    plan.reported(now, &order.instance, version, report.is_loading, report.orders);
+    plan.record_report(now, &order.instance, version, report.is_loading, report.orders);
 }
 
 fn note_order(
@@ -241,17 +241,17 @@
     outcome: OrderOutcome,
 ) {
     if let Some(service_plan) = plans.get_mut(&planned.service) {
-        service_plan.plan.ordered(node.now(), &planned.order, outcome, planned.orders_before);
+        service_plan.plan.record_outcome(node.now(), &planned.order, outcome, planned.orders_before);
         node.metrics.order(outcome);
     }
 }
 
-fn due_orders(node: &EntryNode, plan: &mut WeightPlan) -> Vec<DueOrder> {
+fn due_orders(node: &EntryNode, plan: &mut WeightScheduler) -> Vec<DueOrder> {
     let clock_ms = node.store.clock_ms();
     let handover = node.bounds().order_handover + ORDER_TIMEOUT;
     let is_open = |instance: &str| {
         let assignment = node.weights.assignment(instance);
-        assignment.is_none_or(|assignment| assignment.is_open_to(&node.settings.name, clock_ms, handover))
+        assignment.is_none_or(|assignment| assignment.may_be_ordered_by(&node.settings.name, clock_ms, handover))
     };
     let board = node.board.lock().unwrap();
     let in_flight = |instance: &str| board.get(instance).map_or(0, |belief| belief.in_flight);
@@ -347,11 +347,11 @@
     }
 }
 
-fn plan_settings(settings: &EntrySettings) -> WeightPlanSettings {
-    WeightPlanSettings {
-        parallel_share: settings.load_share,
-        load_time: Duration::from_millis(settings.first_load_ms),
-        proof_time: settings.lapse_time() + LIST_LAG,
-        ..WeightPlanSettings::default()
+fn plan_settings(settings: &EntrySettings) -> WeightSchedulerSettings {
+    WeightSchedulerSettings {
+        parallel_fraction: settings.load_share,
+        initial_load_time: Duration::from_millis(settings.first_load_ms),
+        discovery_timeout: settings.lapse_time() + MAX_HEARTBEAT_LAG,
+        ..WeightSchedulerSettings::default()
     }
 }
--- a/crates/trestlerackd/src/process/keys.rs
+++ b/crates/trestlerackd/src/process/keys.rs
@@ -34,7 +34,7 @@
     /// Returns the user whose key is presented.
     pub fn caller(&self, presented: &str) -> Option<Name> {
         let credential = CallerCredential::Key(CustomerKey::new(presented));
-        self.callers.holder(&credential).map(|user| user.name.clone())
+        self.callers.find(&credential).map(|user| user.name.clone())
     }
 
     /// Returns whether the operators' key is presented.
--- a/crates/trestlerackd/src/process/member_loop.rs
+++ b/crates/trestlerackd/src/process/member_loop.rs
@@ -127,7 +127,7 @@
     for news in backends {
         node.desks.hear_news(node.now(), news);
     }
-    let action = node.config.handle(FollowEvent::Heard { generation });
+    let action = node.config.handle(FollowEvent::Announced { generation });
     if let Some(action) = action {
         crate::version::config_loop::carry_out(node, action, Some(sender));
     }
--- a/crates/trestlerackd/src/process/rollout_loop.rs
+++ b/crates/trestlerackd/src/process/rollout_loop.rs
@@ -165,9 +165,9 @@
     let (fence, ordering) = with_keeper(node, model, |keeper| (keeper.fence(now), keeper.order_fence(now, false)));
     let Some(fence) = fence else { return };
     let serving_percent = serving_percent(config, model);
-    let quiet_over = ordering.is_some();
-    let target = WeightTarget { model: model.clone(), version, fence, serving_percent, quiet_over };
-    let places = PlaceSet::new(config.serving(BackendKind::Engine, model).map(|backend| backend.zone.clone()));
+    let is_handover_complete = ordering.is_some();
+    let target = WeightTarget { model: model.clone(), version, fence, serving_percent, is_handover_complete };
+    let places = PlaceSet::new(config.backends_of(BackendKind::Engine, model).map(|backend| backend.zone.clone()));
     let owners = node.owners.read().unwrap().owners(model, &places);
     let nodes: BTreeSet<Name> = owners.into_iter().map(|owner| owner.node).collect();
     for owner in nodes {
--- a/crates/trestlerackd/src/process/spool.rs
+++ b/crates/trestlerackd/src/process/spool.rs
@@ -88,7 +88,7 @@
     let Some(campaign) = config.campaign(&group.campaign) else { return };
     let key: Name = group.key().into();
     let view = node.ownership.read().unwrap().clone();
-    let Some(peer) = view.spool_peer(&key, node.name(), &campaign.places) else { return };
+    let Some(peer) = view.spool_peer(&key, node.name(), &campaign.allowed_zones) else { return };
     let frame = LinkFrame::SpoolCopy { key, content };
     links::post(node, &peer.name, frame).await;
 }
--- a/crates/trestlerackd/src/process/step_loop.rs
+++ b/crates/trestlerackd/src/process/step_loop.rs
@@ -39,7 +39,7 @@
 /// Nudges the owner of a campaign, wherever it is.
 pub async fn nudge_owner(node: &Arc<Node>, campaign: &Campaign) {
     let view = node.ownership.read().unwrap().clone();
-    let Some(owner) = view.campaign_owner(&campaign.name, &campaign.places) else { return };
+    let Some(owner) = view.campaign_owner(&campaign.name, &campaign.allowed_zones) else { return };
     if owner.name == *node.name() {
         node.steps.nudge();
     } else {
@@ -67,7 +67,7 @@
 
 fn is_owner(node: &Node, campaign: &Campaign) -> bool {
     let view = node.ownership.read().unwrap().clone();
-    let owner = view.campaign_owner(&campaign.name, &campaign.places);
+    let owner = view.campaign_owner(&campaign.name, &campaign.allowed_zones);
     owner.is_some_and(|owner| owner.name == *node.name())
 }
 
@@ -140,7 +140,7 @@
     let step = open.row;
     let view = node.ownership.read().unwrap().clone();
     for spec in open.submission.groups.iter().filter(|spec| missing.contains(&spec.group)) {
-        let owner = view.group_owner(&campaign.name, step.step, &spec.group, &campaign.places);
+        let owner = view.group_owner(&campaign.name, step.step, &spec.group, &campaign.allowed_zones);
         let Some(owner) = owner.map(|owner| owner.name.clone()) else { continue };
         if !should_ask(node, &group_key(&campaign.name, step.step, &spec.group), &owner) {
             continue;
--- a/crates/trestlerackd/src/request/completions.rs
+++ b/crates/trestlerackd/src/request/completions.rs
@@ -68,7 +68,7 @@
     let request: CompletionRequest = call.json()?;
     let allowed = call.time_allowed()?;
     let config = call.node.config.current();
-    let places = config.user(&user).map(|user| user.places.clone()).unwrap_or_default();
+    let places = config.user(&user).map(|user| user.allowed_zones.clone()).unwrap_or_default();
     let prefix: String = request.prompt.chars().take(PREFIX_CHARACTERS).collect();
     let spec = CallSpec {
         account: user,
--- a/crates/trestlerackd/src/request/desks.rs
+++ b/crates/trestlerackd/src/request/desks.rs
@@ -179,7 +179,7 @@
         let mut shard = self.desks.lock(&model);
         let desk = self.desk(&mut shard, &model);
         self.dispatch(now, desk, DispatchEvent::Held { engine: engine.clone(), version });
-        desk.rollout.handle(now, RolloutEvent::Held { engine: engine.clone(), version })
+        desk.rollout.handle(now, RolloutEvent::VersionReported { engine: engine.clone(), version })
     }
 
     /// Records a failed order; returns the orders to send.
@@ -188,7 +188,7 @@
         let mut shard = self.desks.lock(&model);
         let desk = self.desk(&mut shard, &model);
         let orders = desk.rollout.handle(now, RolloutEvent::OrderFailed { engine: engine.clone() });
-        if desk.rollout.progress().get(engine).is_some_and(|progress| progress.set_aside) {
+        if desk.rollout.progress().get(engine).is_some_and(|progress| progress.is_cooling_down) {
             logs::write(event::ENGINE_SET_ASIDE, &[("engine", engine)]);
         }
         orders
@@ -215,7 +215,7 @@
     fn is_unsettled(&self, backend: &Backend) -> bool {
         let shard = self.desks.lock(&backend.service);
         let Some(desk) = shard.get(&backend.service) else { return true };
-        desk.rollout.held(&backend.name).is_none() || desk.rollout.is_swapping(&backend.name)
+        desk.rollout.loaded_version(&backend.name).is_none() || desk.rollout.is_swapping(&backend.name)
     }
 
     /// Returns the address of an owned engine.
@@ -228,7 +228,7 @@
         let mut models = BTreeMap::new();
         for shard in self.desks.each() {
             for (model, desk) in shard.iter() {
-                let engines = desk.rollout.progress().into_iter().map(|(name, state)| (name, state.held));
+                let engines = desk.rollout.progress().into_iter().map(|(name, state)| (name, state.loaded_version));
                 models.insert(model.clone(), engines.collect());
             }
         }
--- a/crates/trestlerackd/src/request/group_runner.rs
+++ b/crates/trestlerackd/src/request/group_runner.rs
@@ -71,7 +71,7 @@
 async fn make_group(node: &Arc<Node>, wanted: &GroupWanted) -> Option<(Campaign, Vec<Sample>)> {
     loop {
         let campaign = node.config.current().campaign(&wanted.campaign).cloned()?;
-        if !campaign.places.allows(&node.settings.zone) {
+        if !campaign.allowed_zones.allows(&node.settings.zone) {
             return None;
         }
         match make_samples(node, &campaign, wanted).await {
@@ -95,7 +95,7 @@
 /// Returns whether a campaign still has the places that a run began with.
 fn has_places(node: &Node, campaign: &Campaign) -> bool {
     let config = node.config.current();
-    config.campaign(&campaign.name).is_some_and(|current| current.places == campaign.places)
+    config.campaign(&campaign.name).is_some_and(|current| current.allowed_zones == campaign.allowed_zones)
 }
 
 fn made_group(node: &Node, wanted: &GroupWanted, samples: &[Sample]) -> MadeGroup {
@@ -158,7 +158,7 @@
 
 /// A hedge needs a spare slot, and then spends from the retry budget.
 fn may_hedge(node: &Node, campaign: &Campaign) -> bool {
-    has_spare(node, &campaign.model, &campaign.places)
+    has_spare(node, &campaign.model, &campaign.allowed_zones)
         && node.budget.lock().unwrap().spend(&campaign.name, &campaign.model)
 }
 
@@ -284,7 +284,7 @@
         account: campaign.name.clone(),
         weight: campaign.weight,
         model: campaign.model.clone(),
-        places: campaign.places.clone(),
+        places: campaign.allowed_zones.clone(),
         prompt: wanted.spec.prompt.clone(),
         offset: 0,
         max_tokens: campaign.max_tokens,
@@ -306,7 +306,7 @@
 
 /// Scores a sample on a scoring service in the campaign's places.
 async fn score(node: &Arc<Node>, campaign: &Campaign, prompt: &str, text: &str) -> Result<f64, Failure> {
-    let backends = node.plain.backends(BackendKind::Scoring, &campaign.scoring, &campaign.places);
+    let backends = node.plain.backends(BackendKind::Scoring, &campaign.scoring, &campaign.allowed_zones);
     let body = [prompt, "\n", text].concat();
     let host = &campaign.scoring;
     let content = RequestContent { customer: Some(&campaign.name), host, path: "score", body }.fingerprint();
--- a/crates/trestlerackd/src/request/plain.rs
+++ b/crates/trestlerackd/src/request/plain.rs
@@ -66,7 +66,7 @@
     let user = call.require_user()?;
     let service: Name = call.segment(2).into();
     let config = call.node.config.current();
-    let places = config.user(&user).map(|user| user.places.clone()).unwrap_or_default();
+    let places = config.user(&user).map(|user| user.allowed_zones.clone()).unwrap_or_default();
     let backends = call.node.plain.backends(BackendKind::Plain, &service, &places);
     if backends.is_empty() {
         let detail = format!("no plain service {service} in the user's places");
--- a/crates/trestlerackd/src/request/plain_pool.rs
+++ b/crates/trestlerackd/src/request/plain_pool.rs
@@ -70,7 +70,7 @@
         let state = shard.entry(service.clone()).or_default();
         let mut candidates = Vec::new();
         for backend in backends {
-            let left = backend.leaving || is_leaving(&backend.name);
+            let left = backend.is_draining || is_leaving(&backend.name);
             let limit = state.outliers.limit(now, &backend.name, BALANCE_SLOTS);
             let in_flight = state.in_flight.get(&backend.name).copied().unwrap_or(0);
             if !left && limit > 0 && !tried.contains(&backend.name) {
--- a/crates/trestlerackd/src/version/config_loop.rs
+++ b/crates/trestlerackd/src/version/config_loop.rs
@@ -38,11 +38,11 @@
 /// Brings this node up to the newest generation in the table.
 pub async fn catch_up(node: &Arc<Node>) -> Result<(), StoreError> {
     let held = node.config.current().generation;
-    for event in node.config_store().missing(held).await? {
+    for event in node.config_store().events_after(held).await? {
         match event {
             FollowEvent::Snapshot(snapshot) => take_snapshot(node, snapshot),
             FollowEvent::Deltas(deltas) => take_deltas(node, deltas, None),
-            FollowEvent::Heard { .. } => {}
+            FollowEvent::Announced { .. } => {}
         }
     }
     Ok(())
@@ -125,7 +125,7 @@
 }
 
 fn set_backend(node: &Node, name: &Name, backend: Option<&Backend>) {
-    node.desks.set_declared(name, backend.is_some_and(|backend| backend.leaving));
+    node.desks.set_declared(name, backend.is_some_and(|backend| backend.is_draining));
     let mut owners = node.owners.write().unwrap();
     match backend.filter(|backend| backend.kind == BackendKind::Engine) {
         Some(engine) => owners.set_engine(&engine.name, &engine.service, &engine.zone, engine.slots),
--- a/crates/trestlerackd/src/version/plans.rs
+++ b/crates/trestlerackd/src/version/plans.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use trestlerack::border::StoreError;
 use trestlerack::verdict::Reason;
-use trestlerack::version::{ChangePlan, CommitTry, Confirmation, Declaration, parse_declaration, plan_change};
+use trestlerack::version::{ChangePlan, Declaration, PlanCommit, PlanConfirmation, parse_declaration, plan_change};
 use trestlerack::{Failure, Name, event};
 
 /// Tries at a commit that other scopes' commits get in the way of.
@@ -66,9 +66,9 @@
 /// Commits a plan by compare-and-set, or refuses it because another intent came between.
 pub async fn confirm(node: &Arc<Node>, request: &ConfirmRequest) -> Result<Confirmed, Failure> {
     let declaration = read_declaration(&request.file, &request.text)?;
-    let confirmation = Confirmation {
+    let confirmation = PlanConfirmation {
         declaration: &declaration,
-        made_from: request.made_from,
+        base_generation: request.made_from,
         digest: &request.digest,
         operation: node.operation_id(),
     };
@@ -76,17 +76,17 @@
         catch_up(node).await.map_err(store_down)?;
         let held = node.config.current();
         match node.config_store().try_commit(&held, &confirmation).await.map_err(store_down)? {
-            CommitTry::Behind => {}
-            CommitTry::Unchanged => return Ok(Confirmed { generation: held.generation, changed: false }),
-            CommitTry::Invalid(detail) => return Err(Failure::not_run(Reason::Conflict, detail)),
-            CommitTry::OutOfDate => {
+            PlanCommit::Behind => {}
+            PlanCommit::Unchanged => return Ok(Confirmed { generation: held.generation, changed: false }),
+            PlanCommit::Invalid(detail) => return Err(Failure::not_run(Reason::Conflict, detail)),
+            PlanCommit::Outdated => {
                 let fields: [(&str, &dyn std::fmt::Display); 2] =
                     [("scope", &declaration.scope), ("made_from", &request.made_from)];
                 logs::write(event::PLAN_REFUSED, &fields);
                 let detail = "the configuration changed since the plan was made; plan again";
                 return Err(Failure::not_run(Reason::Conflict, detail));
             }
-            CommitTry::Committed(delta) => {
+            PlanCommit::Committed(delta) => {
                 let generation = delta.generation;
                 take_deltas(node, vec![delta], None);
                 logs::write(event::PLAN_CONFIRMED, &[("generation", &generation), ("scope", &declaration.scope)]);
