--- a/crates/trestlerack/src/version/mod.rs
+++ b/crates/trestlerack/src/version/mod.rs
@@ -11,7 +11,7 @@
 mod rollout;
 mod routing;
 mod staleness;
-mod weight_plan;
+mod weight_scheduler;
 
 pub use config_store::{ConfigStore, PlanCommit, PlanConfirmation};
 pub use configuration::{ConfigContent, ConfigDelta, ConfigItem, Configuration};
@@ -29,6 +29,6 @@
 };
 pub use routing::{ClientLimits, RequestRoute, RouteKind, RoutedService, RoutingTable, SplitShare};
 pub use staleness::{SampleAge, StalenessRule, WeightVersion};
-pub use weight_plan::{
+pub use weight_scheduler::{
     DueOrder, EngineAssignment, MAX_HEARTBEAT_LAG, OrderOutcome, WeightScheduler, WeightSchedulerSettings,
 };
