--- a/crates/trestlerack/src/version/rollout.rs
+++ b/crates/trestlerack/src/version/rollout.rs
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RolloutSettings {
-    /// Time after which an order without an answer counts as failed.
+    /// Time after which an order without a response counts as failed.
     pub order_timeout: Duration,
     /// Delay before an engine that failed an order is ordered again; it doubles with each further failure.
     #[serde(rename = "retry_wait")]
--- a/crates/trestlerack/src/version/weight_scheduler.rs
+++ b/crates/trestlerack/src/version/weight_scheduler.rs
@@ -11,15 +11,15 @@
 /// Settings of a [`WeightScheduler`].
 #[derive(Clone, Debug)]
 pub struct WeightSchedulerSettings {
-    /// Fraction of a service's engines that may load at the same time. It depends on the bandwidth of the store
-    /// of weights: more engines only slow each other down.
+    /// Fraction of a service's engines that may load at the same time. The operator sets it by the bandwidth of
+    /// the store of weights: more engines only slow each other down.
     pub parallel_fraction: f64,
-    /// Number of engines that may load at the same time, however few engines the service has.
+    /// Number of engines that may load at the same time if `parallel_fraction` allows fewer.
     pub min_parallel: usize,
     /// Fraction of a model's engines that load its newest version while jobs accept the previous version as
-    /// well. The other engines load when the next version is announced. Each engine then loads every second
-    /// version, and half as many runs wait for a load. With a third or two thirds, the benchmark
-    /// score of a day was 0.02 to 0.03 lower (docs/MEASUREMENTS.md).
+    /// well. The other engines load when the next version is published. Each engine then loads every second
+    /// version, and half as many runs wait for a load. With a third or two thirds, the benchmark score of a
+    /// day was 0.02 to 0.03 lower (docs/MEASUREMENTS.md).
     pub newest_fraction: f64,
     /// Expected time of a load until the first load is measured.
     pub initial_load_time: Duration,
@@ -100,9 +100,9 @@
     AlreadyLoaded,
     /// The engine rejected the order, because it is loading another version or has accepted other orders.
     Refused,
-    /// The response was lost or invalid, so the engine may have accepted the order.
+    /// The response was lost or unexpected, so the engine may have accepted the order.
     Unknown,
-    /// The order was not sent.
+    /// The order did not reach the engine.
     NotSent,
 }
 
--- a/crates/trestlerack/tests/rollouts.rs
+++ b/crates/trestlerack/tests/rollouts.rs
@@ -45,7 +45,8 @@
             if !pending.is_empty() && random.random_ratio(1, 3) {
                 let order = pending.swap_remove(random.random_range(0..pending.len()));
                 let fails = is_early && random.random_ratio(1, 3);
-                // A swap may also succeed although its response is lost.
+                // A swap may also succeed although its response is lost. Then the loaded version is reported
+                // later, after the order is repeated.
                 let is_lost = is_early && random.random_ratio(1, 5);
                 if !fails {
                     loaded.insert(order.engine.clone(), order.version);
