--- a/crates/trestlerackd/src/connection/link_server.rs
+++ b/crates/trestlerackd/src/connection/link_server.rs
@@ -4,7 +4,7 @@
 use crate::node::Node;
 use crate::process::clock;
 use crate::process::{logs, member_loop, rollout_loop};
-use crate::request::{call_router, content_gate, group_runner};
+use crate::request::{call_router, content_blocking, group_runner};
 use crate::version::config_loop;
 use futures_util::StreamExt;
 use std::collections::HashMap;
@@ -96,7 +96,7 @@
         match frame {
             LinkFrame::Hello { node: peer } => *self.peer.lock().unwrap() = peer,
             LinkFrame::Probe { id, heartbeat, generation, drain_updates, crash_reports } => {
-                content_gate::hear_strikes(node, &crash_reports);
+                content_blocking::hear_strikes(node, &crash_reports);
                 member_loop::hear(node, heartbeat, generation, drain_updates);
                 self.answer_probe(node, id).await;
             }
@@ -121,7 +121,7 @@
         let heartbeat = node.membership.lock().unwrap().heartbeat();
         let generation = node.config.current().generation;
         let drain_updates = node.desks.take_news();
-        let crash_reports = content_gate::probe_strikes(node);
+        let crash_reports = content_blocking::probe_strikes(node);
         let answer = LinkFrame::ProbeAnswer { id, heartbeat, generation, drain_updates, crash_reports };
         // A closed link ends the session; there is nobody left to answer.
         let _ = self.outbox.send(answer).await;
--- a/crates/trestlerackd/src/process/member_loop.rs
+++ b/crates/trestlerackd/src/process/member_loop.rs
@@ -4,7 +4,7 @@
 use crate::connection::links;
 use crate::node::Node;
 use crate::process::clock;
-use crate::request::content_gate;
+use crate::request::content_blocking;
 use std::sync::Arc;
 use std::time::Duration;
 use trestlerack::connection::LinkFrame;
@@ -90,11 +90,11 @@
     let heartbeat = node.membership.lock().unwrap().heartbeat();
     let generation = node.config.current().generation;
     let drain_updates = node.desks.take_news();
-    let crash_reports = content_gate::probe_strikes(&node);
+    let crash_reports = content_blocking::probe_strikes(&node);
     let build = |id| LinkFrame::Probe { id, heartbeat, generation, drain_updates, crash_reports };
     match links::request(&node, &peer, build, timeout).await {
         Ok(LinkFrame::ProbeAnswer { heartbeat, generation, drain_updates, crash_reports, .. }) => {
-            content_gate::hear_strikes(&node, &crash_reports);
+            content_blocking::hear_strikes(&node, &crash_reports);
             hear(&node, heartbeat, generation, drain_updates);
         }
         Ok(_) | Err(_) => tell(&node, MembershipEvent::Unanswered(peer.name)),
--- a/crates/trestlerackd/src/request/call_driver.rs
+++ b/crates/trestlerackd/src/request/call_driver.rs
@@ -1,7 +1,7 @@
 //! Drives one call to its whole answer over as many attempts as it takes and is allowed.
 
 use super::call_router::{choose_owner, route};
-use super::turnstile::wait_for_room;
+use super::capacity_queue::wait_for_room;
 use crate::node::Node;
 use crate::process::clock;
 use crate::process::logs;
--- a/crates/trestlerackd/src/request/call_router.rs
+++ b/crates/trestlerackd/src/request/call_router.rs
@@ -1,7 +1,7 @@
 //! Takes a call to the owner of an engine, here or on a peer.
 
-use super::content_gate::{self, GuardedSend};
-use super::desks::Grant;
+use super::content_blocking::{self, GuardedSend};
+use super::dispatchers::Grant;
 use crate::connection::links::{self, RemoteCall};
 use crate::node::Node;
 use crate::process::clock;
@@ -221,7 +221,7 @@
         match spec.fingerprint {
             Some(fingerprint) => {
                 let send = GuardedSend { backend: &grant.engine, address: &grant.address, content: fingerprint };
-                content_gate::guarded(node, send, call).await
+                content_blocking::guarded(node, send, call).await
             }
             None => call.await,
         }
--- a/crates/trestlerackd/src/request/completions.rs
+++ b/crates/trestlerackd/src/request/completions.rs
@@ -1,6 +1,6 @@
 //! Applications' completion calls, passed through to an engine and streamed back.
 
-use super::answer::{ApiCall, json_response, refuse, serve};
+use super::api_call::{ApiCall, json_response, refuse, serve};
 use super::call_driver::{CallSink, drive};
 use super::engine_client::{CompletionChoice, CompletionEvent, DONE};
 use crate::node::Node;
--- a/crates/trestlerackd/src/request/group_runner.rs
+++ b/crates/trestlerackd/src/request/group_runner.rs
@@ -2,7 +2,7 @@
 
 use super::call_driver::{CallSink, HEDGE_PRIORITY, drive};
 use super::call_router::has_spare;
-use super::content_gate::{self, GuardedSend};
+use super::content_blocking::{self, GuardedSend};
 use super::group_record::record;
 use crate::node::Node;
 use crate::process::stop::WorkGuard;
@@ -316,7 +316,7 @@
         let chosen = node.plain.choose(node.now(), &backends, &tried, |name| node.desks.is_leaving(name));
         let Some(backend) = chosen else { break };
         let send = GuardedSend { backend: &backend.name, address: &backend.address, content };
-        let result = content_gate::guarded(node, send, node.scoring.score(&backend.address, prompt, text)).await;
+        let result = content_blocking::guarded(node, send, node.scoring.score(&backend.address, prompt, text)).await;
         node.plain.ended(node.now(), &backend, result.is_ok());
         match result {
             Ok(score) => return Ok(score),
--- a/crates/trestlerackd/src/request/mod.rs
+++ b/crates/trestlerackd/src/request/mod.rs
@@ -1,11 +1,12 @@
 //! What lives as long as a request: routes, calls, steps and operators' requests.
 
-pub mod answer;
+pub mod api_call;
 pub mod call_driver;
 pub mod call_router;
+pub mod capacity_queue;
 pub mod completions;
-pub mod content_gate;
-pub mod desks;
+pub mod content_blocking;
+pub mod dispatchers;
 pub mod engine_client;
 pub mod group_record;
 pub mod group_runner;
@@ -17,4 +18,3 @@
 pub mod scoring_client;
 pub mod shards;
 pub mod steps;
-pub mod turnstile;
--- a/crates/trestlerackd/src/request/operators.rs
+++ b/crates/trestlerackd/src/request/operators.rs
@@ -1,6 +1,6 @@
 //! Operators' requests: plans, confirmations, views and drains.
 
-use super::answer::{ApiCall, json_response, serve};
+use super::api_call::{ApiCall, json_response, serve};
 use crate::process::rollout_loop::progress;
 use crate::version::plans::{self, ConfirmRequest, PlanRequest};
 use gotham::handler::HandlerResult;
--- a/crates/trestlerackd/src/request/plain.rs
+++ b/crates/trestlerackd/src/request/plain.rs
@@ -1,7 +1,7 @@
 //! Calls to plain services, some of which must not run twice.
 
-use super::answer::{ApiCall, serve};
-use super::content_gate::{self, GuardedSend};
+use super::api_call::{ApiCall, serve};
+use super::content_blocking::{self, GuardedSend};
 use crate::connection::http_client::{HttpAnswer, read_whole};
 use crate::node::Node;
 use crate::process::clock;
@@ -134,7 +134,7 @@
             return Err(failure.retry_after(Duration::from_secs(1)));
         };
         let send = GuardedSend { backend: &backend.name, address: &backend.address, content: call.content() };
-        let result = content_gate::guarded(node, send, send_once(node, call, &backend)).await;
+        let result = content_blocking::guarded(node, send, send_once(node, call, &backend)).await;
         let is_good = result.as_ref().is_ok_and(|answer| !answer.status.is_server_error());
         node.plain.ended(node.now(), &backend, is_good);
         let failure = match result {
@@ -243,6 +243,6 @@
         response.headers_mut().insert(header::CONTENT_TYPE, value);
     }
     let verdict = header::HeaderValue::from_static(Verdict::Ran.as_str());
-    response.headers_mut().insert(super::answer::VERDICT_HEADER, verdict);
+    response.headers_mut().insert(super::api_call::VERDICT_HEADER, verdict);
     response
 }
--- a/crates/trestlerackd/src/request/routes.rs
+++ b/crates/trestlerackd/src/request/routes.rs
@@ -1,6 +1,6 @@
 //! The routes of callers, operators and probes.
 
-use super::answer::{bytes_response, refuse};
+use super::api_call::{bytes_response, refuse};
 use super::{completions, operators, plain, steps};
 use crate::connection::accept::NodeHandle;
 use gotham::handler::HandlerResult;
--- a/crates/trestlerackd/src/request/steps.rs
+++ b/crates/trestlerackd/src/request/steps.rs
@@ -1,6 +1,6 @@
 //! Trainers' requests: submit a step, take its samples, acknowledge it, publish weights.
 
-use super::answer::{ApiCall, Principal, bytes_response, json_response, serve};
+use super::api_call::{ApiCall, Principal, bytes_response, json_response, serve};
 use crate::node::Node;
 use crate::process::rollout_loop::{self, weights_key};
 use crate::process::{logs, step_loop};
