--- a/crates/trestlerackd/src/connection/link_server.rs
+++ b/crates/trestlerackd/src/connection/link_server.rs
@@ -96,7 +96,7 @@
         match frame {
             LinkFrame::Hello { node: peer } => *self.peer.lock().unwrap() = peer,
             LinkFrame::Probe { id, heartbeat, generation, drain_updates, crash_reports } => {
-                content_blocking::hear_strikes(node, &crash_reports);
+                content_blocking::merge_crash_reports(node, &crash_reports);
                 member_loop::hear(node, heartbeat, generation, drain_updates);
                 self.answer_probe(node, id).await;
             }
@@ -120,8 +120,8 @@
     async fn answer_probe(&self, node: &Arc<Node>, id: u64) {
         let heartbeat = node.membership.lock().unwrap().heartbeat();
         let generation = node.config.current().generation;
-        let drain_updates = node.desks.take_news();
-        let crash_reports = content_blocking::probe_strikes(node);
+        let drain_updates = node.dispatchers.take_drain_updates();
+        let crash_reports = content_blocking::recent_crash_reports(node);
         let answer = LinkFrame::ProbeAnswer { id, heartbeat, generation, drain_updates, crash_reports };
         // A closed link ends the session; there is nobody left to answer.
         let _ = self.outbox.send(answer).await;
@@ -139,7 +139,7 @@
     fn start_call(self: Arc<Self>, node: &Arc<Node>, id: u64, spec: CallSpec) {
         let (sender, mut events) = mpsc::channel(1);
         let model = spec.model.clone();
-        let run = call_router::run_here(node.clone(), spec, sender);
+        let run = call_router::run_locally(node.clone(), spec, sender);
         let session = self.clone();
         let node = node.clone();
         // The task cannot take itself off the list before it is on it.
@@ -149,7 +149,7 @@
                 let mut sequence = 0;
                 while let Some(event) = events.recv().await {
                     let is_chunk = matches!(event, CallEvent::Chunk(_));
-                    let load = (!is_chunk).then(|| node.desks.load(node.now(), &model));
+                    let load = (!is_chunk).then(|| node.dispatchers.load(node.now(), &model));
                     session.send_part(id, sequence, event, load).await;
                     sequence += 1;
                 }
--- a/crates/trestlerackd/src/node.rs
+++ b/crates/trestlerackd/src/node.rs
@@ -12,9 +12,9 @@
 use crate::process::stop::StopState;
 use crate::process::telemetry::Telemetry;
 use crate::process::wanted::WantedGroups;
-use crate::request::capacity_queue::Turnstiles;
-use crate::request::content_blocking::ContentGate;
-use crate::request::dispatchers::DeskTable;
+use crate::request::capacity_queue::CapacityQueues;
+use crate::request::content_blocking::ContentBlocker;
+use crate::request::dispatchers::DispatcherTable;
 use crate::request::engine_client::HttpEngineClient;
 use crate::request::loads::LoadTable;
 use crate::request::plain_pool::PlainPool;
@@ -70,7 +70,7 @@
     /// Owners of engines.
     pub owners: RwLock<EngineOwners>,
     /// Dispatchers of the owned engines, in shards.
-    pub desks: DeskTable,
+    pub dispatchers: DispatcherTable,
     /// Leases on models.
     pub leases: HeldLeases,
     /// Open steps of owned campaigns.
@@ -78,7 +78,7 @@
     /// Loads of peers.
     pub loads: LoadTable,
     /// Lines of samples that wait for an owner with room.
-    pub turnstiles: Turnstiles,
+    pub capacity_queues: CapacityQueues,
     /// Links to peers.
     pub links: LinkTable,
     /// Retry budgets.
@@ -88,7 +88,7 @@
     /// Plain services.
     pub plain: PlainPool,
     /// Contents under which backend servers ended.
-    pub gate: ContentGate,
+    pub content_blocker: ContentBlocker,
     /// Groups that this node is making.
     pub wanted: WantedGroups,
     /// Groups that wait for the store.
@@ -135,17 +135,17 @@
             membership: Mutex::new(PeerMembership::new(member_settings, own, incarnation)),
             ownership: RwLock::default(),
             owners: RwLock::default(),
-            desks: DeskTable::new(&settings, recorder.clone()),
+            dispatchers: DispatcherTable::new(&settings, recorder.clone()),
             recorder,
             leases: HeldLeases::default(),
             steps: StepWatch::default(),
             loads: LoadTable::default(),
-            turnstiles: Turnstiles::default(),
+            capacity_queues: CapacityQueues::default(),
             links: LinkTable::default(),
             budget: Mutex::new(RetryBudget::new(RETRY_RATIO, RETRY_RESERVE)),
             limits: UserLimits::default(),
             plain: PlainPool::default(),
-            gate: ContentGate::default(),
+            content_blocker: ContentBlocker::default(),
             wanted: WantedGroups::default(),
             spool: GroupSpool::new(settings.spool_bytes),
             sample_slots: Arc::new(Semaphore::new(settings.max_samples)),
@@ -206,7 +206,7 @@
         let owners = self.owners.read().unwrap();
         let owned: Vec<Name> = owners.owned_by(self.name()).cloned().collect();
         drop(owners);
-        self.desks.set_owned(self.now(), &config, &owned);
+        self.dispatchers.set_owned(self.now(), &config, &owned);
     }
 
     /// Returns the time left until `deadline`, in milliseconds.
--- a/crates/trestlerackd/src/process/member_loop.rs
+++ b/crates/trestlerackd/src/process/member_loop.rs
@@ -39,7 +39,7 @@
         match node.list.list().await {
             Ok(list) => {
                 tell(&node, MembershipEvent::Listed(list.nodes));
-                node.desks.listed_leaving(node.now(), &list.leaving_backends);
+                node.dispatchers.merge_drain_list(node.now(), &list.leaving_backends);
                 node.refresh_ownership();
             }
             Err(error) => logs::write(event::LIST_UNAVAILABLE, &[("error", &error)]),
@@ -89,12 +89,12 @@
     let timeout = Duration::from_millis(node.settings.heartbeat_ms) * PROBE_TIMEOUT_PARTS;
     let heartbeat = node.membership.lock().unwrap().heartbeat();
     let generation = node.config.current().generation;
-    let drain_updates = node.desks.take_news();
-    let crash_reports = content_blocking::probe_strikes(&node);
+    let drain_updates = node.dispatchers.take_drain_updates();
+    let crash_reports = content_blocking::recent_crash_reports(&node);
     let build = |id| LinkFrame::Probe { id, heartbeat, generation, drain_updates, crash_reports };
     match links::request(&node, &peer, build, timeout).await {
         Ok(LinkFrame::ProbeAnswer { heartbeat, generation, drain_updates, crash_reports, .. }) => {
-            content_blocking::hear_strikes(&node, &crash_reports);
+            content_blocking::merge_crash_reports(&node, &crash_reports);
             hear(&node, heartbeat, generation, drain_updates);
         }
         Ok(_) | Err(_) => tell(&node, MembershipEvent::Unanswered(peer.name)),
@@ -125,7 +125,7 @@
     let sender = heartbeat.sender.peer.clone();
     tell(node, MembershipEvent::Received(heartbeat));
     for news in drain_updates {
-        node.desks.hear_news(node.now(), news);
+        node.dispatchers.merge_drain_update(node.now(), news);
     }
     let action = node.config.handle(FollowEvent::Announced { generation });
     if let Some(action) = action {
--- a/crates/trestlerackd/src/process/rollout_loop.rs
+++ b/crates/trestlerackd/src/process/rollout_loop.rs
@@ -189,14 +189,14 @@
 
 /// Takes in a weight target and sends the orders that follow from it.
 pub fn accept_target(node: &Arc<Node>, target: WeightTarget) {
-    let known = node.desks.target_version(&target.model);
+    let known = node.dispatchers.target_version(&target.model);
     if known != Some(target.version) {
         logs::write(
             event::WEIGHTS_TARGETED,
             &[("model", &target.model), ("version", &target.version), ("fence", &target.fence)],
         );
     }
-    let orders = node.desks.set_target(node.now(), target);
+    let orders = node.dispatchers.set_target(node.now(), target);
     send_orders(node, orders);
 }
 
@@ -206,9 +206,9 @@
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     for number in 0.. {
         ticks.tick().await;
-        let orders = node.desks.tick(node.now());
+        let orders = node.dispatchers.tick(node.now());
         send_orders(&node, orders);
-        for (engine, address) in node.desks.due_for_status(number) {
+        for (engine, address) in node.dispatchers.engines_to_poll(number) {
             tokio::spawn(ask_status(node.clone(), engine, address));
         }
     }
@@ -216,15 +216,15 @@
 
 async fn ask_status(node: Arc<Node>, engine: Name, address: Name) {
     let Ok(status) = node.engines.status(&address).await else {
-        return node.desks.set_reachable(node.now(), &engine, false);
+        return node.dispatchers.set_reachable(node.now(), &engine, false);
     };
-    let orders = node.desks.hear_status(node.now(), &engine, &status);
+    let orders = node.dispatchers.record_status(node.now(), &engine, &status);
     send_orders(&node, orders);
 }
 
 fn send_orders(node: &Arc<Node>, orders: Vec<EngineOrder>) {
     for order in orders {
-        let address = node.desks.address(&order.engine);
+        let address = node.dispatchers.address(&order.engine);
         if let Some(address) = address {
             tokio::spawn(send_order(node.clone(), order, address));
         }
@@ -236,12 +236,12 @@
     let orders = match answer {
         Ok(status) if status.loaded_version == Some(order.version) => {
             logs::write(event::WEIGHTS_HELD, &[("engine", &order.engine), ("version", &order.version)]);
-            node.desks.hear_status(node.now(), &order.engine, &status)
+            node.dispatchers.record_status(node.now(), &order.engine, &status)
         }
-        Ok(_) => node.desks.order_failed(node.now(), &order.engine),
+        Ok(_) => node.dispatchers.record_order_failure(node.now(), &order.engine),
         Err(failure) => {
             logs::write(event::ORDER_FAILED, &[("engine", &order.engine), ("error", &failure)]);
-            node.desks.order_failed(node.now(), &order.engine)
+            node.dispatchers.record_order_failure(node.now(), &order.engine)
         }
     };
     send_orders(&node, orders);
@@ -249,5 +249,5 @@
 
 /// Returns the versions that the engines of each owned model hold, for operators.
 pub fn progress(node: &Node) -> BTreeMap<Name, BTreeMap<Name, Option<WeightVersion>>> {
-    node.desks.progress()
+    node.dispatchers.progress()
 }
--- a/crates/trestlerackd/src/request/api_call.rs
+++ b/crates/trestlerackd/src/request/api_call.rs
@@ -1,4 +1,4 @@
-//! Requests as handlers see them, and answers with problem details and a verdict.
+//! Requests as handlers receive them, and responses with problem details and a verdict.
 
 use crate::connection::accept::NodeHandle;
 use crate::node::Node;
@@ -24,22 +24,22 @@
 /// Header that carries the verdict of a failed request.
 pub const VERDICT_HEADER: &str = "trestlerack-verdict";
 
-/// Header with which a caller states its deadline, in milliseconds from now.
-pub const DEADLINE_HEADER: &str = "request-timeout-ms";
+/// Header with the timeout of a request, in milliseconds.
+pub const TIMEOUT_HEADER: &str = "request-timeout-ms";
 
 /// Media type of problem details.
 const PROBLEM_JSON: &str = "application/problem+json";
 
-/// Time to return for a caller that met a stopping node; the balancer has moved on by then.
-const STOPPING_RETRY: Duration = Duration::from_secs(1);
+/// Retry-after time of a stopping node. By then the external load balancer uses other nodes.
+const STOPPING_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A request that was read whole.
+/// Request of the HTTP API with its complete body.
 pub struct ApiCall {
-    /// The node.
+    /// Node that serves the request.
     pub node: Arc<Node>,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Target.
+    /// Request target.
     pub uri: Uri,
     /// Headers.
     pub headers: HeaderMap,
@@ -47,14 +47,14 @@
     pub body: Bytes,
     /// Span of this hop.
     pub span: HopSpan,
-    /// Counts the request as in progress; streaming answers keep it.
+    /// Counts the request as in progress; streamed responses keep it until they end.
     pub work: WorkGuard,
 }
 
-/// Who presents a valid key.
+/// Authenticated caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Principal {
-    /// The operators.
+    /// An operator.
     Operator,
     /// A user.
     User(Name),
@@ -83,38 +83,38 @@
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
 
-    /// Decodes the body.
+    /// Decodes the body as JSON.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, Failure> {
         serde_json::from_slice(&self.body)
-            .map_err(|error| Failure::not_run(Reason::BadRequest, format!("the body is not as expected: {error}")))
+            .map_err(|error| Failure::not_run(Reason::BadRequest, format!("invalid request body: {error}")))
     }
 
-    /// Returns the time that the caller allows.
-    pub fn time_allowed(&self) -> Result<Duration, Failure> {
-        let Some(text) = self.header(DEADLINE_HEADER) else {
+    /// Returns the timeout that the caller set, or the default.
+    pub fn timeout(&self) -> Result<Duration, Failure> {
+        let Some(text) = self.header(TIMEOUT_HEADER) else {
             return Ok(Duration::from_millis(self.node.settings.default_deadline_ms));
         };
-        let allowed = text.parse().ok().filter(|millis| *millis > 0);
-        let allowed = allowed.ok_or_else(|| {
-            Failure::not_run(Reason::BadRequest, format!("{DEADLINE_HEADER}: expected milliseconds above 0"))
+        let timeout = text.parse().ok().filter(|millis| *millis > 0);
+        let timeout = timeout.ok_or_else(|| {
+            Failure::not_run(Reason::BadRequest, format!("{TIMEOUT_HEADER}: expected milliseconds above 0"))
         })?;
-        Ok(Duration::from_millis(allowed))
+        Ok(Duration::from_millis(timeout))
     }
 
-    /// Returns who calls, or refuses a missing or wrong key.
+    /// Authenticates the caller. Fails if the key is missing or unknown.
     pub fn principal(&self) -> Result<Principal, Failure> {
-        let presented = self.header("authorization").and_then(|value| value.strip_prefix("Bearer "));
-        let Some(presented) = presented else {
-            return Err(Failure::not_run(Reason::Unauthorized, "expected a key as bearer token"));
+        let key = self.header("authorization").and_then(|value| value.strip_prefix("Bearer "));
+        let Some(key) = key else {
+            return Err(Failure::not_run(Reason::Unauthorized, "expected a bearer token"));
         };
-        if self.node.keys.is_operator(presented) {
+        if self.node.keys.is_operator(key) {
             return Ok(Principal::Operator);
         }
-        let user = self.node.keys.caller(presented).map(Principal::User);
-        user.ok_or_else(|| Failure::not_run(Reason::Unauthorized, "the key is not known"))
+        let user = self.node.keys.caller(key).map(Principal::User);
+        user.ok_or_else(|| Failure::not_run(Reason::Unauthorized, "unknown key"))
     }
 
-    /// Refuses anyone but the operators.
+    /// Fails unless the caller is an operator.
     pub fn require_operator(&self) -> Result<(), Failure> {
         match self.principal()? {
             Principal::Operator => Ok(()),
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Returns the user who calls, counted against its rate limit.
+    /// Returns the calling user and counts the call against its rate limit.
     pub fn require_user(&self) -> Result<Name, Failure> {
         let Principal::User(user) = self.principal()? else {
             return Err(Failure::not_run(Reason::Forbidden, "this call needs a user's key"));
@@ -141,7 +141,7 @@
     }
 }
 
-/// Reads a request, lets `work` answer it, and turns a failure into problem details.
+/// Reads a request, runs `work` on it and converts a failure into problem details.
 pub async fn serve<F, W>(mut state: State, route: &'static str, work: W) -> HandlerResult
 where
     W: FnOnce(ApiCall) -> F,
@@ -152,7 +152,7 @@
         Ok(call) => work(call).await,
         Err(failure) => Err(failure),
     };
-    let response = response.unwrap_or_else(|failure| refuse(&node, route, &failure));
+    let response = response.unwrap_or_else(|failure| error_response(&node, route, &failure));
     let status = i64::from(response.status().as_u16());
     node.telemetry.requests.add(1, &[KeyValue::new("route", route), KeyValue::new("status", status)]);
     Ok((state, response))
@@ -162,7 +162,7 @@
     let work = WorkGuard::new(node);
     if node.stop.is_stopping() && *node.stop.closed().borrow() {
         let failure = Failure::not_run(Reason::Stopping, "the node is stopping");
-        return Err(failure.retry_after(STOPPING_RETRY));
+        return Err(failure.retry_after(STOPPING_RETRY_AFTER));
     }
     let method = Method::take_from(state);
     let uri = Uri::take_from(state);
@@ -181,19 +181,19 @@
         return Err(too_large());
     }
     let body = Body::take_from(state);
-    let reading = Limited::new(body, limit).collect();
-    let time = Duration::from_millis(node.settings.body_timeout_ms);
-    match clock::timeout(time, reading).await {
+    let body = Limited::new(body, limit).collect();
+    let body_timeout = Duration::from_millis(node.settings.body_timeout_ms);
+    match clock::timeout(body_timeout, body).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.downcast_ref::<LengthLimitError>().is_some() => Err(too_large()),
-        Ok(Err(_)) => Err(Failure::not_run(Reason::BadRequest, "the body broke off")),
-        Err(_) => Err(Failure::not_run(Reason::BadRequest, "the body took too long")),
+        Ok(Err(_)) => Err(Failure::not_run(Reason::BadRequest, "the body is incomplete")),
+        Err(_) => Err(Failure::not_run(Reason::BadRequest, "the body was not received in time")),
     }
 }
 
 /// Problem details, RFC 9457, with the verdict as an extension member.
 #[derive(Serialize)]
-struct Problem<'a> {
+struct ProblemDetails<'a> {
     r#type: String,
     title: &'a str,
     status: u16,
@@ -203,15 +203,15 @@
     retry_after_ms: Option<u64>,
 }
 
-/// Builds the final answer to a request that failed.
-pub fn refuse(node: &Node, route: &'static str, failure: &Failure) -> Response<Body> {
+/// Builds the response to a failed request, and logs and counts the failure.
+pub fn error_response(node: &Node, route: &'static str, failure: &Failure) -> Response<Body> {
     node.telemetry.refusals.add(1, &[KeyValue::new("reason", failure.reason.as_str())]);
-    // A trainer that asks again for a step in the making is no news.
+    // Not logged for `NotReady`: trainers poll a step until it is sealed.
     if failure.reason != Reason::NotReady {
         logs::write(event::REQUEST_REFUSED, &[("route", &route), ("failure", failure)]);
     }
     let status = failure.reason.status();
-    let problem = Problem {
+    let problem = ProblemDetails {
         r#type: format!("urn:trestlerack:problem:{}", failure.reason.as_str()),
         title: failure.reason.as_str(),
         status,
@@ -219,7 +219,7 @@
         verdict: failure.verdict.as_str(),
         retry_after_ms: failure.retry_after.map(trestlerack::time::millis),
     };
-    let body = serde_json::to_vec(&problem).expect("problem details always encode");
+    let body = serde_json::to_vec(&problem).expect("problem details are always serializable");
     let mut response = bytes_response(StatusCode::from_u16(status).unwrap_or_default(), PROBLEM_JSON, body);
     let headers = response.headers_mut();
     headers.insert(VERDICT_HEADER, header::HeaderValue::from_static(failure.verdict.as_str()));
@@ -239,7 +239,7 @@
     }
 }
 
-/// Builds an answer from bytes.
+/// Builds a response from bytes.
 pub fn bytes_response(status: StatusCode, content_type: &'static str, body: impl Into<Bytes>) -> Response<Body> {
     let body = Full::new(body.into()).map_err(|never| match never {}).boxed_unsync();
     let mut response = Response::new(body);
@@ -248,7 +248,7 @@
     response
 }
 
-/// Builds a JSON answer.
+/// Builds a JSON response with status 200.
 pub fn json_response(body: &impl Serialize) -> Result<Response<Body>, Failure> {
     let body = serde_json::to_vec(body).map_err(|error| Failure {
         verdict: trestlerack::Verdict::Ran,
--- a/crates/trestlerackd/src/request/call_router.rs
+++ b/crates/trestlerackd/src/request/call_router.rs
@@ -1,6 +1,6 @@
-//! Takes a call to the owner of an engine, here or on a peer.
+//! Routes calls to owners of engines: this node or a peer.
 
-use super::content_blocking::{self, GuardedSend};
+use super::content_blocking::{self, BackendRequest};
 use super::dispatchers::Grant;
 use crate::connection::links::{self, RemoteCall};
 use crate::node::Node;
@@ -21,11 +21,11 @@
 use trestlerack::verdict::Reason;
 use trestlerack::{AllowedZones, Failure, Name, Timestamp, Verdict};
 
-/// Wait named when no owner has an engine in an allowed place.
-const NO_OWNER_RETRY: Duration = Duration::from_millis(500);
+/// Retry-after time of a call when no owner has an engine in an allowed zone.
+const NO_OWNER_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Parts of an answer that wait for their reader on this node.
-const LOCAL_PARTS: usize = 16;
+/// Number of events buffered for the reader of a call on this node.
+const LOCAL_EVENT_CAPACITY: usize = 16;
 
 /// A call in progress; dropping it cancels the call.
 pub struct RoutedCall {
@@ -36,27 +36,27 @@
 }
 
 enum CallSource {
-    Here { parts: mpsc::Receiver<CallEvent>, task: tokio::task::AbortHandle },
-    Peer(RemoteCall),
+    Local { events: mpsc::Receiver<CallEvent>, task: tokio::task::AbortHandle },
+    Remote(RemoteCall),
 }
 
 impl RoutedCall {
-    /// Returns the next part of the answer. The last part is always [`CallEvent::Ended`].
+    /// Returns the next event of the call. The last one is always [`CallEvent::Ended`].
     pub async fn next(&mut self) -> CallEvent {
         let (event, load) = match &mut self.source {
-            CallSource::Here { parts, .. } => {
-                let event = parts.recv().await.unwrap_or_else(|| CallEvent::Ended(links::broken_call()));
+            CallSource::Local { events, .. } => {
+                let event = events.recv().await.unwrap_or_else(|| CallEvent::Ended(links::broken_call()));
                 let is_chunk = matches!(event, CallEvent::Chunk(_));
-                let load = (!is_chunk).then(|| self.node.desks.load(self.node.now(), &self.model));
+                let load = (!is_chunk).then(|| self.node.dispatchers.load(self.node.now(), &self.model));
                 (event, load)
             }
-            CallSource::Peer(call) => {
-                let part = call.next().await;
-                part.unwrap_or_else(|| (CallEvent::Ended(links::broken_call()), None))
+            CallSource::Remote(call) => {
+                let event = call.next().await;
+                event.unwrap_or_else(|| (CallEvent::Ended(links::broken_call()), None))
             }
         };
         if let Some(load) = load {
-            self.node.loads.report(self.node.now(), &self.model, &self.owner, &load);
+            self.node.loads.record_report(self.node.now(), &self.model, &self.owner, &load);
         }
         event
     }
@@ -64,8 +64,8 @@
 
 impl Drop for RoutedCall {
     fn drop(&mut self) {
-        self.node.loads.ended(&self.model, &self.owner);
-        if let CallSource::Here { task, .. } = &self.source {
+        self.node.loads.record_end(&self.model, &self.owner);
+        if let CallSource::Local { task, .. } = &self.source {
             task.abort();
         }
     }
@@ -73,53 +73,53 @@
 
 /// Starts a call on an owner.
 pub async fn route(node: &Arc<Node>, owner: Name, spec: CallSpec) -> Result<RoutedCall, Failure> {
-    node.loads.began(&spec.model, &owner);
+    node.loads.record_start(&spec.model, &owner);
     let model = spec.model.clone();
     let source =
-        if owner == *node.name() { Ok(start_here(node, spec)) } else { start_on_peer(node, &owner, spec).await };
+        if owner == *node.name() { Ok(start_locally(node, spec)) } else { start_on_peer(node, &owner, spec).await };
     match source {
         Ok(source) => Ok(RoutedCall { node: node.clone(), model, owner, source }),
         Err(failure) => {
-            node.loads.ended(&model, &owner);
+            node.loads.record_end(&model, &owner);
             Err(failure)
         }
     }
 }
 
-/// An owner that was chosen for a call, and what it is believed to be doing.
+/// Owner that was chosen for a call, with its estimated load.
 pub struct OwnerChoice {
     /// Name of the node.
     pub owner: Name,
-    /// Calls that it is believed to have.
+    /// Estimated number of its calls.
     calls: u32,
     /// Slots of its engines.
     slots: u32,
 }
 
-/// Calls per slot up to which an owner counts as having room; a little over one keeps a slot from
-/// standing empty while the next call is on its way.
-const ROOM_PER_SLOT: f64 = 1.5;
+/// Calls per slot below which an owner has capacity. It is above one so that a slot does not stay
+/// empty while the next call is on its way.
+const MAX_CALLS_PER_SLOT: f64 = 1.5;
 
-/// Returns whether the chosen owner would start another call soon.
-pub fn has_room(choice: &OwnerChoice) -> bool {
-    f64::from(choice.calls) < f64::from(choice.slots) * ROOM_PER_SLOT
+/// Returns whether the chosen owner is expected to start another call soon.
+pub fn has_capacity(choice: &OwnerChoice) -> bool {
+    f64::from(choice.calls) < f64::from(choice.slots) * MAX_CALLS_PER_SLOT
 }
 
-/// Returns whether some owner of a model's engines is believed to have a slot to spare, so that a
-/// hedge takes nothing away from a first attempt.
-pub fn has_spare(node: &Node, model: &Name, places: &AllowedZones) -> bool {
-    let owners = node.owners.read().unwrap().model_owners(model, places);
-    owners.iter().any(|owner| node.loads.belief(node.now(), model, &owner.node).0 < owner.slots)
+/// Returns whether some owner of a model's engines has a free slot by its estimated load, so that a
+/// hedged attempt does not delay a first attempt.
+pub fn has_free_slot(node: &Node, model: &Name, allowed_zones: &AllowedZones) -> bool {
+    let owners = node.owners.read().unwrap().model_owners(model, allowed_zones);
+    owners.iter().any(|owner| node.loads.estimate(node.now(), model, &owner.node).0 < owner.slots)
 }
 
-/// Returns the owner that a call's prefix and the owners' load point to, without those to `avoid`.
-pub fn choose_owner(node: &Node, spec: &CallSpec, avoid: &[Name]) -> Result<OwnerChoice, Failure> {
+/// Chooses an owner by the prefix of the call and the load of the owners, except those in `avoided`.
+pub fn choose_owner(node: &Node, spec: &CallSpec, avoided: &[Name]) -> Result<OwnerChoice, Failure> {
     let mut owners = node.owners.read().unwrap().model_owners(&spec.model, &spec.allowed_zones);
-    owners.retain(|owner| !avoid.contains(&owner.node));
-    let beliefs: Vec<_> = owners.iter().map(|owner| node.loads.belief(node.now(), &spec.model, &owner.node)).collect();
-    let views: Vec<EngineCandidate<'_>> = owners
+    owners.retain(|owner| !avoided.contains(&owner.node));
+    let loads: Vec<_> = owners.iter().map(|owner| node.loads.estimate(node.now(), &spec.model, &owner.node)).collect();
+    let candidates: Vec<EngineCandidate<'_>> = owners
         .iter()
-        .zip(&beliefs)
+        .zip(&loads)
         .map(|(owner, (calls, millis_per_token))| EngineCandidate {
             name: &owner.node,
             in_flight: *calls,
@@ -129,55 +129,55 @@
         .collect();
     let policy = node.settings.choice_policy();
     let mut chooser = EngineChooser::new(policy, Pcg64Mcg::from_rng(&mut rand::rng()));
-    let index = chooser.choose(spec.prefix, &views).ok_or_else(|| {
-        let failure = Failure::not_run(Reason::NoBackend, "no engine in an allowed place serves the model");
-        failure.retry_after(NO_OWNER_RETRY)
+    let index = chooser.choose(spec.prefix, &candidates).ok_or_else(|| {
+        let failure = Failure::not_run(Reason::NoBackend, "no engine in an allowed zone serves the model");
+        failure.retry_after(NO_OWNER_RETRY_AFTER)
     })?;
     let owner = &owners[index];
-    Ok(OwnerChoice { owner: owner.node.clone(), calls: beliefs[index].0, slots: owner.slots })
+    Ok(OwnerChoice { owner: owner.node.clone(), calls: loads[index].0, slots: owner.slots })
 }
 
-fn start_here(node: &Arc<Node>, spec: CallSpec) -> CallSource {
-    let (sender, parts) = mpsc::channel(LOCAL_PARTS);
-    let task = tokio::spawn(run_here(node.clone(), spec, sender)).abort_handle();
-    CallSource::Here { parts, task }
+fn start_locally(node: &Arc<Node>, spec: CallSpec) -> CallSource {
+    let (sender, events) = mpsc::channel(LOCAL_EVENT_CAPACITY);
+    let task = tokio::spawn(run_locally(node.clone(), spec, sender)).abort_handle();
+    CallSource::Local { events, task }
 }
 
 async fn start_on_peer(node: &Arc<Node>, owner: &Name, spec: CallSpec) -> Result<CallSource, Failure> {
     let peer: Option<PeerInfo> = node.membership.lock().unwrap().peer(owner).cloned();
-    let peer = peer.ok_or_else(|| Failure::not_run(Reason::BackendFailed, "the owner is not known"))?;
-    Ok(CallSource::Peer(links::call(node, &peer, Box::new(spec)).await?))
+    let peer = peer.ok_or_else(|| Failure::not_run(Reason::BackendFailed, "the owner is not a known member"))?;
+    Ok(CallSource::Remote(links::call(node, &peer, Box::new(spec)).await?))
 }
 
-/// Frees a call's place in the queue or its slot when its task ends in whatever way.
+/// Cancels a call at the dispatcher when its task ends early, so that its queue entry or slot is freed.
 struct SlotGuard {
     node: Arc<Node>,
     model: Name,
     id: u64,
-    is_settled: bool,
+    is_finished: bool,
 }
 
 impl Drop for SlotGuard {
     fn drop(&mut self) {
-        if !self.is_settled {
-            self.node.desks.cancelled(self.node.now(), &self.model, self.id);
+        if !self.is_finished {
+            self.node.dispatchers.cancel(self.node.now(), &self.model, self.id);
         }
     }
 }
 
-/// Runs a call on an engine that this node owns and sends the parts of its answer.
-pub async fn run_here(node: Arc<Node>, spec: CallSpec, sender: mpsc::Sender<CallEvent>) {
+/// Runs a call on an engine that this node owns and sends its events.
+pub async fn run_locally(node: Arc<Node>, spec: CallSpec, sender: mpsc::Sender<CallEvent>) {
     let _work = WorkGuard::new(&node);
     let span = node.telemetry.hop("owner", SpanKind::Server, spec.traceparent.as_deref());
     let arrived = node.now();
     let deadline = arrived + Duration::from_millis(spec.deadline_ms);
-    let id = node.desks.next_id();
-    let turn = node.desks.arrive(arrived, &spec.model, queued_call(id, &spec, deadline));
-    let mut guard = SlotGuard { node: node.clone(), model: spec.model.clone(), id, is_settled: false };
-    let grant = match turn.await {
+    let id = node.dispatchers.next_id();
+    let receiver = node.dispatchers.enqueue(arrived, &spec.model, queued_call(id, &spec, deadline));
+    let mut guard = SlotGuard { node: node.clone(), model: spec.model.clone(), id, is_finished: false };
+    let grant = match receiver.await {
         Ok(Ok(grant)) => grant,
-        Ok(Err(failure)) => return end(&sender, CallOutcome::Failed(failure)).await,
-        Err(_) => return end(&sender, links::broken_call()).await,
+        Ok(Err(failure)) => return send_end(&sender, CallOutcome::Failed(failure)).await,
+        Err(_) => return send_end(&sender, links::broken_call()).await,
     };
     span.set("engine", grant.engine.to_string());
     let started = started_event(&node, &grant, arrived);
@@ -192,20 +192,20 @@
         needs_version: spec.needs_version,
         tokens: 0,
     };
-    let answer = run_engine(&node, &grant, &spec, deadline, &mut relay).await;
+    let result = run_engine(&node, &grant, &spec, deadline, &mut relay).await;
     let tokens = relay.tokens;
-    let outcome = if answer.is_ok() { "whole" } else { "failed" };
+    let outcome = if result.is_ok() { "whole" } else { "failed" };
     node.telemetry.engine_calls.add(1, &[KeyValue::new("outcome", outcome)]);
     node.telemetry.tokens.add(u64::from(tokens), &[]);
-    guard.is_settled = true;
-    if matches!(&answer, Err(failure) if failure.verdict == Verdict::NotRun && failure.reason == Reason::BackendFailed)
+    guard.is_finished = true;
+    if matches!(&result, Err(failure) if failure.verdict == Verdict::NotRun && failure.reason == Reason::BackendFailed)
     {
-        node.desks.set_reachable(node.now(), &grant.engine, false);
+        node.dispatchers.set_reachable(node.now(), &grant.engine, false);
     }
-    let is_good = !matches!(&answer, Err(failure) if failure.reason == Reason::BackendFailed);
-    node.desks.ended(node.now(), &spec.model, id, is_good, tokens);
-    let outcome = answer.map_or_else(CallOutcome::Failed, |()| CallOutcome::Complete);
-    end(&sender, outcome).await;
+    let succeeded = !matches!(&result, Err(failure) if failure.reason == Reason::BackendFailed);
+    node.dispatchers.record_end(node.now(), &spec.model, id, succeeded, tokens);
+    let outcome = result.map_or_else(CallOutcome::Failed, |()| CallOutcome::Complete);
+    send_end(&sender, outcome).await;
 }
 
 async fn run_engine(
@@ -215,19 +215,21 @@
     deadline: Timestamp,
     relay: &mut ChunkRelay<'_>,
 ) -> Result<(), Failure> {
-    let left = deadline.since(node.now());
+    let remaining = deadline.since(node.now());
     let call = node.engines.complete(&grant.address, spec, relay);
     let call = async {
         match spec.fingerprint {
             Some(fingerprint) => {
-                let send = GuardedSend { backend: &grant.engine, address: &grant.address, content: fingerprint };
-                content_blocking::guarded(node, send, call).await
+                let send = BackendRequest { backend: &grant.engine, address: &grant.address, fingerprint };
+                content_blocking::send_unless_blocked(node, send, call).await
             }
             None => call.await,
         }
     };
-    let answer = clock::timeout(left, call).await;
-    answer.unwrap_or_else(|_| Err(Failure::may_have_run(Reason::DeadlineExceeded, "the answer was not whole in time")))
+    let result = clock::timeout(remaining, call).await;
+    result.unwrap_or_else(|_| {
+        Err(Failure::may_have_run(Reason::DeadlineExceeded, "the response was not complete in time"))
+    })
 }
 
 fn queued_call(id: u64, spec: &CallSpec, deadline: Timestamp) -> QueuedCall {
@@ -251,12 +253,12 @@
     CallEvent::Started { engine: grant.engine.clone(), zone: grant.zone.clone(), owner: node.name().clone(), queued_ms }
 }
 
-async fn end(sender: &mpsc::Sender<CallEvent>, outcome: CallOutcome) {
-    // A reader that went away needs no end.
+async fn send_end(sender: &mpsc::Sender<CallEvent>, outcome: CallOutcome) {
+    // Fails only if the reader is gone.
     let _ = sender.send(CallEvent::Ended(outcome)).await;
 }
 
-/// Passes on chunks, and what they say about the engine's version.
+/// Forwards the chunks of a call and records the engine's version from the first one.
 struct ChunkRelay<'a> {
     node: &'a Arc<Node>,
     engine: Name,
@@ -271,8 +273,8 @@
         if self.tokens == 0
             && let Some(version) = chunk.version
         {
-            // Orders that follow from it are sent at the next tick.
-            let _ = self.node.desks.hear_version(self.node.now(), &self.engine, version);
+            // The resulting orders are sent at the next tick.
+            let _ = self.node.dispatchers.record_version(self.node.now(), &self.engine, version);
         }
         if self.needs_version && chunk.version.is_none() {
             return false;
--- a/crates/trestlerackd/src/request/capacity_queue.rs
+++ b/crates/trestlerackd/src/request/capacity_queue.rs
@@ -1,10 +1,10 @@
-//! Holds samples back on the node that drives them until an owner has room.
+//! Queues the calls of samples on the node that drives them until an owner has capacity.
 //!
-//! A call that waits at an owner is bound to that owner's engines however long they take; one that
-//! waits here goes to whichever owner comes free first. One waiter per account and model looks,
-//! and the others stand in line behind it, so the cost does not grow with the line.
+//! A call that waits at an owner can run on that owner's engines only, however long they take. A call
+//! that waits here goes to the first owner with capacity. Only the first waiter per account and model
+//! polls the owners, so the cost does not grow with the length of the queue.
 
-use super::call_router::{choose_owner, has_room};
+use super::call_router::{choose_owner, has_capacity};
 use crate::node::Node;
 use crate::process::clock;
 use std::collections::HashMap;
@@ -14,42 +14,44 @@
 use trestlerack::connection::CallSpec;
 use trestlerack::{Failure, Name, Timestamp};
 
-/// Interval at which the first in line looks for room.
-const LOOK_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval at which the first waiter of a queue polls for capacity.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-type Line = Arc<tokio::sync::Mutex<()>>;
+type WaiterQueue = Arc<tokio::sync::Mutex<()>>;
 
-/// Lines by account and model.
+/// Queues by account and model.
 #[derive(Default)]
-pub struct Turnstiles {
-    lines: Mutex<HashMap<(Name, Name), Line>>,
+pub struct CapacityQueues {
+    queues: Mutex<HashMap<(Name, Name), WaiterQueue>>,
 }
 
-/// The turn of a call; the next in line moves up when it is dropped.
-pub struct Turn {
+/// Holds the front of a queue. When it is dropped, the next waiter moves up.
+pub struct QueueGuard {
     _guard: OwnedMutexGuard<()>,
 }
 
-impl Turnstiles {
-    fn line(&self, spec: &CallSpec) -> Line {
+impl CapacityQueues {
+    fn queue(&self, spec: &CallSpec) -> WaiterQueue {
         let key = (spec.account.clone(), spec.model.clone());
-        self.lines.lock().unwrap().entry(key).or_default().clone()
+        self.queues.lock().unwrap().entry(key).or_default().clone()
     }
 }
 
-/// Waits for a turn and for an owner with room, and returns both.
-pub async fn wait_for_room(
+/// Waits for the front of the queue and for an owner with capacity, and returns both.
+///
+/// After `deadline` the owner may be without capacity.
+pub async fn wait_for_capacity(
     node: &Arc<Node>,
     spec: &CallSpec,
-    avoid: &[Name],
+    avoided: &[Name],
     deadline: Timestamp,
-) -> Result<(Turn, Name), Failure> {
-    let guard = node.turnstiles.line(spec).lock_owned().await;
+) -> Result<(QueueGuard, Name), Failure> {
+    let guard = node.capacity_queues.queue(spec).lock_owned().await;
     loop {
-        let choice = choose_owner(node, spec, avoid)?;
-        if has_room(&choice) || node.now() >= deadline {
-            return Ok((Turn { _guard: guard }, choice.owner));
+        let choice = choose_owner(node, spec, avoided)?;
+        if has_capacity(&choice) || node.now() >= deadline {
+            return Ok((QueueGuard { _guard: guard }, choice.owner));
         }
-        clock::sleep(LOOK_INTERVAL).await;
+        clock::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/trestlerackd/src/request/completions.rs
+++ b/crates/trestlerackd/src/request/completions.rs
@@ -1,8 +1,8 @@
-//! Applications' completion calls, passed through to an engine and streamed back.
+//! Completion calls of applications, forwarded to an engine, with streamed responses.
 
-use super::api_call::{ApiCall, json_response, refuse, serve};
+use super::api_call::{ApiCall, error_response, json_response, serve};
 use super::call_driver::{CallSink, drive};
-use super::engine_client::{CompletionChoice, CompletionEvent, DONE};
+use super::engine_client::{CompletionChoice, CompletionEvent, STREAM_END};
 use crate::node::Node;
 use crate::process::stop::WorkGuard;
 use async_trait::async_trait;
@@ -24,17 +24,17 @@
 use trestlerack::verdict::Reason;
 use trestlerack::{Failure, Name, Timestamp};
 
-/// Priority of an application's call that states none; above that of samples.
+/// Default priority of an application's call, above that of samples.
 const APPLICATION_PRIORITY: u8 = 50;
 
-/// Highest priority that a caller may ask for.
+/// Highest priority that a caller may request.
 const MAX_PRIORITY: u8 = 100;
 
-/// Characters of a prompt that count as its shared prefix.
+/// Number of leading characters of a prompt that are hashed as its shared prefix.
 const PREFIX_CHARACTERS: usize = 256;
 
-/// Events that wait for a slow reader, after which the engine is held back too.
-const STREAM_EVENTS: usize = 16;
+/// Number of events buffered for a slow reader. A full buffer applies backpressure to the engine.
+const STREAM_EVENT_CAPACITY: usize = 16;
 
 #[derive(Deserialize)]
 struct CompletionRequest {
@@ -66,7 +66,7 @@
 async fn run(call: ApiCall) -> Result<Response<Body>, Failure> {
     let user = call.require_user()?;
     let request: CompletionRequest = call.json()?;
-    let allowed = call.time_allowed()?;
+    let timeout = call.timeout()?;
     let config = call.node.config.current();
     let allowed_zones = config.user(&user).map(|user| user.allowed_zones.clone()).unwrap_or_default();
     let prefix: String = request.prompt.chars().take(PREFIX_CHARACTERS).collect();
@@ -83,20 +83,20 @@
         priority: request.priority.min(MAX_PRIORITY),
         min_version: 0,
         needs_version: false,
-        deadline_ms: trestlerack::time::millis(allowed),
+        deadline_ms: trestlerack::time::millis(timeout),
         traceparent: call.span.traceparent.clone(),
         fingerprint: None,
     };
     let spec = spec.with_fingerprint();
-    let deadline = call.node.now() + allowed;
+    let deadline = call.node.now() + timeout;
     if request.stream { stream(call, spec, deadline).await } else { collect(call, spec, deadline).await }
 }
 
-const POLICY: ResumePolicy = ResumePolicy { repeatable: true, waits_for_engine: false };
+const RESUME_POLICY: ResumePolicy = ResumePolicy { repeatable: true, waits_for_engine: false };
 
 async fn collect(call: ApiCall, spec: CallSpec, deadline: Timestamp) -> Result<Response<Body>, Failure> {
     let mut sink = CollectSink::default();
-    drive(&call.node, &spec, deadline, POLICY, &mut sink).await?;
+    drive(&call.node, &spec, deadline, RESUME_POLICY, &mut sink).await?;
     let mut event = completion_event(&spec.model, 0, sink.tokens, sink.text);
     event.choices[0].finish_reason = sink.finish_reason;
     event.weight_version = sink.version;
@@ -130,7 +130,7 @@
     fn started(&mut self, _engine: Name, _zone: Name, _owner: Name) {}
 
     async fn chunk(&mut self, chunk: TokenChunk) -> Result<(), Failure> {
-        check_order(self.tokens, &chunk)?;
+        check_offset(self.tokens, &chunk)?;
         self.tokens += chunk.tokens;
         self.text.push_str(&chunk.text);
         self.version = chunk.version;
@@ -139,34 +139,34 @@
         Ok(())
     }
 
-    fn held(&self) -> (u32, &str) {
+    fn received(&self) -> (u32, &str) {
         (self.tokens, &self.text)
     }
 }
 
-/// A chunk must go on exactly where the answer stands; anything else is a broken stream.
-fn check_order(held: u32, chunk: &TokenChunk) -> Result<(), Failure> {
-    if chunk.offset == held {
+/// Checks that a chunk continues exactly after the tokens received so far. Otherwise the stream is broken.
+fn check_offset(received: u32, chunk: &TokenChunk) -> Result<(), Failure> {
+    if chunk.offset == received {
         return Ok(());
     }
-    let detail = format!("the engine went on at token {} instead of {held}", chunk.offset);
+    let detail = format!("the engine continued at token {} instead of {received}", chunk.offset);
     Err(Failure::may_have_run(Reason::BackendFailed, detail))
 }
 
-/// Starts a stream. The head of the answer waits for the first token, so that a call which cannot
-/// start is refused with its status rather than with a broken stream.
+/// Starts a streamed response. The response head is sent after the first token, so that a call which
+/// cannot start gets an error status instead of a broken stream.
 async fn stream(call: ApiCall, spec: CallSpec, deadline: Timestamp) -> Result<Response<Body>, Failure> {
-    let (events, receiver) = mpsc::channel::<Bytes>(STREAM_EVENTS);
-    let (first, started) = oneshot::channel();
+    let (events, receiver) = mpsc::channel::<Bytes>(STREAM_EVENT_CAPACITY);
+    let (head, head_result) = oneshot::channel();
     let ApiCall { node, work, span, .. } = call;
     tokio::spawn(async move {
         let _span = span;
-        run_stream(node, work, spec, deadline, events, first).await;
+        run_stream(node, work, spec, deadline, events, head).await;
     });
-    match started.await {
+    match head_result.await {
         Ok(Ok(())) => Ok(stream_response(receiver)),
         Ok(Err(failure)) => Err(failure),
-        Err(_) => Err(Failure::may_have_run(Reason::BackendFailed, "the call ended without an answer")),
+        Err(_) => Err(Failure::may_have_run(Reason::BackendFailed, "the call ended without a response")),
     }
 }
 
@@ -176,21 +176,21 @@
     spec: CallSpec,
     deadline: Timestamp,
     events: mpsc::Sender<Bytes>,
-    first: oneshot::Sender<Result<(), Failure>>,
+    head: oneshot::Sender<Result<(), Failure>>,
 ) {
-    let mut sink = StreamSink { model: spec.model.clone(), tokens: 0, text: String::new(), events, first: Some(first) };
-    let outcome = drive(&node, &spec, deadline, POLICY, &mut sink).await;
-    match (outcome, sink.first.take()) {
-        (Ok(_), first) => {
-            if let Some(first) = first {
-                // A caller that went away needs no head.
-                let _ = first.send(Ok(()));
+    let mut sink = StreamSink { model: spec.model.clone(), tokens: 0, text: String::new(), events, head: Some(head) };
+    let outcome = drive(&node, &spec, deadline, RESUME_POLICY, &mut sink).await;
+    match (outcome, sink.head.take()) {
+        (Ok(_), head) => {
+            if let Some(head) = head {
+                // Fails only if the caller is gone.
+                let _ = head.send(Ok(()));
             }
-            sink.send_data(DONE).await;
+            sink.send_data(STREAM_END).await;
         }
-        (Err(failure), Some(first)) => {
-            // As above.
-            let _ = first.send(Err(failure));
+        (Err(failure), Some(head)) => {
+            // Fails only if the caller is gone.
+            let _ = head.send(Err(failure));
         }
         (Err(failure), None) => sink.send_failure(&node, &failure).await,
     }
@@ -210,7 +210,7 @@
     tokens: u32,
     text: String,
     events: mpsc::Sender<Bytes>,
-    first: Option<oneshot::Sender<Result<(), Failure>>>,
+    head: Option<oneshot::Sender<Result<(), Failure>>>,
 }
 
 impl StreamSink {
@@ -218,14 +218,14 @@
         self.events.send(Bytes::from(format!("data: {data}\n\n"))).await.is_ok()
     }
 
-    /// Reports a stream that cannot be completed: an error event and no end mark, so that a short
-    /// answer is never taken for a whole one.
+    /// Ends an incomplete stream with an error event and without [`STREAM_END`], so that a truncated
+    /// response is never taken for a complete one.
     async fn send_failure(&mut self, node: &Node, failure: &Failure) {
-        let problem = refuse(node, "completions", failure);
+        let problem = error_response(node, "completions", failure);
         if let Ok(body) = problem.into_body().collect().await {
             let body = body.to_bytes();
             let text = format!("event: error\ndata: {}\n\n", String::from_utf8_lossy(&body));
-            // A caller that went away needs no report.
+            // Fails only if the caller is gone.
             let _ = self.events.send(Bytes::from(text)).await;
         }
     }
@@ -236,10 +236,10 @@
     fn started(&mut self, _engine: Name, _zone: Name, _owner: Name) {}
 
     async fn chunk(&mut self, chunk: TokenChunk) -> Result<(), Failure> {
-        check_order(self.tokens, &chunk)?;
-        if let Some(first) = self.first.take() {
-            // A caller that went away is noticed at the next event.
-            let _ = first.send(Ok(()));
+        check_offset(self.tokens, &chunk)?;
+        if let Some(head) = self.head.take() {
+            // Fails only if the caller is gone, which `send_data` reports below.
+            let _ = head.send(Ok(()));
         }
         self.tokens += chunk.tokens;
         self.text.push_str(&chunk.text);
@@ -247,14 +247,14 @@
         event.weight_version = chunk.version;
         event.engine_incarnation = Some(chunk.incarnation);
         event.choices[0].finish_reason = chunk.finish_reason;
-        let data = serde_json::to_string(&event).expect("a completion event always encodes");
+        let data = serde_json::to_string(&event).expect("a completion event is always serializable");
         if self.send_data(&data).await {
             return Ok(());
         }
-        Err(Failure::may_have_run(Reason::Conflict, "the caller went away"))
+        Err(Failure::may_have_run(Reason::Conflict, "the caller disconnected"))
     }
 
-    fn held(&self) -> (u32, &str) {
+    fn received(&self) -> (u32, &str) {
         (self.tokens, &self.text)
     }
 }
--- a/crates/trestlerackd/src/request/content_blocking.rs
+++ b/crates/trestlerackd/src/request/content_blocking.rs
@@ -1,8 +1,8 @@
-//! Holds contents under which backend servers ended, on the daemon's own interface.
+//! Blocks request contents that crashed backend servers, on the daemon's own API.
 //!
-//! The decisions are those of the entry service ([`SuspectTracker`]). Nodes tell each other of strikes with
-//! their probes, so a node that starts or returns knows them with its first one. News is told at once:
-//! with the probes of each interval only, the next arrival of a content came before its strikes.
+//! The rules are those of the entry service ([`SuspectTracker`]). Nodes exchange crash reports with their
+//! probes, so a node that starts or rejoins has them after its first probe. A new report triggers probes
+//! at once, because with regular probes only, the same content arrived at other nodes before the report.
 
 use crate::node::Node;
 use crate::process::clock::{self, SystemClock};
@@ -18,73 +18,76 @@
 use trestlerack::verdict::Reason;
 use trestlerack::{Failure, Name, Verdict, event};
 
-/// Time to find out whether an address still takes connections; one whose process has ended refuses
+/// Timeout of one connection attempt to an address. If its process has ended, the connection is refused
 /// within a round trip.
-const LISTEN_TIMEOUT: Duration = Duration::from_millis(100);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// How often an address is asked, and the pause in between.
-const LISTEN_TRIES: usize = 3;
-const LISTEN_PAUSE: Duration = Duration::from_millis(30);
+/// Largest number of connection attempts to an address.
+const MAX_CONNECT_ATTEMPTS: usize = 3;
 
-/// Strikes that travel with a probe, newest first; some 50 bytes each.
-const PROBE_STRIKES: usize = 64;
+/// Interval between two connection attempts.
+const CONNECT_INTERVAL: Duration = Duration::from_millis(30);
 
-/// Time within which ends of one backend server count as one end. Declared servers have no start to
-/// tell their ends apart, and one that is down for seconds ends under several nodes' requests at once.
-const SAME_END_MS: u64 = 10_000;
+/// Largest number of crash reports in a probe, newest first; each takes about 50 bytes.
+const MAX_PROBE_REPORTS: usize = 64;
 
-/// What this node knows of contents under which backend servers ended.
-pub struct ContentGate {
-    book: Mutex<SuspectTracker>,
+/// Interval in which crashes of one backend server count as one crash, in milliseconds. Declared servers
+/// have no start id to tell crashes apart, and requests of several nodes fail while one is down for
+/// seconds.
+const SAME_CRASH_MS: u64 = 10_000;
+
+/// Contents that crashed backend servers, as far as this node knows.
+pub struct ContentBlocker {
+    tracker: Mutex<SuspectTracker>,
 }
 
-impl Default for ContentGate {
+impl Default for ContentBlocker {
     fn default() -> Self {
-        Self { book: Mutex::new(SuspectTracker::new(SuspectSettings::default())) }
+        Self { tracker: Mutex::new(SuspectTracker::new(SuspectSettings::default())) }
     }
 }
 
-impl ContentGate {
-    fn book(&self) -> MutexGuard<'_, SuspectTracker> {
-        self.book.lock().unwrap()
+impl ContentBlocker {
+    fn tracker(&self) -> MutexGuard<'_, SuspectTracker> {
+        self.tracker.lock().unwrap()
     }
 }
 
-/// Where a request goes.
-pub struct GuardedSend<'a> {
-    /// Backend server.
+/// Destination and content of a request to a backend server.
+pub struct BackendRequest<'a> {
+    /// Name of the backend server.
     pub backend: &'a Name,
-    /// Its address.
+    /// Address of the backend server.
     pub address: &'a str,
-    /// What is asked for.
-    pub content: RequestFingerprint,
+    /// Fingerprint of the content.
+    pub fingerprint: RequestFingerprint,
 }
 
-/// Makes an exchange with a backend server, unless its content is held, and takes note of how it ends.
-pub async fn guarded<T>(
+/// Runs `exchange` with a backend server unless the content is blocked, and records its outcome.
+pub async fn send_unless_blocked<T>(
     node: &Arc<Node>,
-    send: GuardedSend<'_>,
+    request: BackendRequest<'_>,
     exchange: impl Future<Output = Result<T, Failure>>,
 ) -> Result<T, Failure> {
     let now = node.now();
-    // Taken before it is looked at: the refusal asks the book too.
-    let standing = node.gate.book().state(now, send.content);
-    if let SuspectState::Blocked(left) = standing {
-        return Err(refuse(node, &send, left));
+    // Bound to a variable so that the lock is released: `blocked_failure` locks the tracker too.
+    let state = node.content_blocker.tracker().state(now, request.fingerprint);
+    if let SuspectState::Blocked(remaining) = state {
+        return Err(blocked_failure(node, &request, remaining));
     }
-    let run = node.gate.book().begin_run(now, send.backend, send.content);
+    let run = node.content_blocker.tracker().begin_run(now, request.backend, request.fingerprint);
     let result = exchange.await;
-    let is_trial = run.is_some_and(|run| node.gate.book().is_trial(send.backend, run));
+    let is_trial = run.is_some_and(|run| node.content_blocker.tracker().is_trial(request.backend, run));
     if let Some(run) = run {
-        node.gate.book().end_run(send.backend, run);
+        node.content_blocker.tracker().end_run(request.backend, run);
     }
     match &result {
         Ok(_) => {
-            node.gate.book().record_answer(node.now(), send.content);
+            node.content_blocker.tracker().record_answer(node.now(), request.fingerprint);
         }
         Err(failure) if failure.verdict == Verdict::MayHaveRun && failure.reason == Reason::BackendFailed => {
-            if refuses_connections(send.address).await {
-                note_end(node, &send, is_trial);
+            if refuses_connections(request.address).await {
+                record_crash(node, &request, is_trial);
             }
         }
         Err(_) => {}
@@ -92,59 +95,69 @@
     result
 }
 
-fn refuse(node: &Node, send: &GuardedSend<'_>, left: Duration) -> Failure {
-    let ended = node.gate.book().crash_count(send.content);
-    let fields: [(&str, &dyn std::fmt::Display); 4] =
-        [("request", &"-"), ("fingerprint", &send.content), ("ended", &ended), ("left_s", &left.as_secs())];
+fn blocked_failure(node: &Node, request: &BackendRequest<'_>, remaining: Duration) -> Failure {
+    let crashes = node.content_blocker.tracker().crash_count(request.fingerprint);
+    let fields: [(&str, &dyn std::fmt::Display); 4] = [
+        ("request", &"-"),
+        ("fingerprint", &request.fingerprint),
+        ("ended", &crashes),
+        ("left_s", &remaining.as_secs()),
+    ];
     logs::write(event::REQUEST_HELD, &fields);
-    Failure::not_run(Reason::ContentHeld, "backend servers ended under what is asked for").retry_after(left)
+    Failure::not_run(Reason::ContentHeld, "backend servers crashed while they ran this content").retry_after(remaining)
 }
 
-fn note_end(node: &Arc<Node>, send: &GuardedSend<'_>, is_trial: bool) {
-    let end = hash_parts(&[send.backend, &(SystemClock::unix_millis() / SAME_END_MS).to_string()]);
-    let is_news = node.gate.book().record_crash_by_start(node.now(), send.content, end, is_trial).is_some();
-    if is_news {
+fn record_crash(node: &Arc<Node>, request: &BackendRequest<'_>, is_trial: bool) {
+    let crash_id = hash_parts(&[request.backend, &(SystemClock::unix_millis() / SAME_CRASH_MS).to_string()]);
+    let is_new = node
+        .content_blocker
+        .tracker()
+        .record_crash_by_start(node.now(), request.fingerprint, crash_id, is_trial)
+        .is_some();
+    if is_new {
         member_loop::probe_some(node, &GossipSettings::default());
     }
-    let ended = node.gate.book().crash_count(send.content);
+    let crashes = node.content_blocker.tracker().crash_count(request.fingerprint);
     let fields: [(&str, &dyn std::fmt::Display); 5] = [
         ("request", &"-"),
-        ("fingerprint", &send.content),
-        ("server", send.backend),
+        ("fingerprint", &request.fingerprint),
+        ("server", request.backend),
         ("trial", &is_trial),
-        ("ended", &ended),
+        ("ended", &crashes),
     ];
     logs::write(event::SERVER_ENDED, &fields);
 }
 
-/// A process that ends may close a connection before the address that it listens on, and there is no
-/// service discovery here to tell later that it ended; so the address is asked several times.
+/// Returns whether an address refuses connections, which means that its process has ended.
+///
+/// A process that ends may close its connections before its listening socket, and no service discovery
+/// reports the end later, so the connection is tried several times.
 async fn refuses_connections(address: &str) -> bool {
-    for _ in 0..LISTEN_TRIES {
-        let connecting = clock::timeout(LISTEN_TIMEOUT, TcpStream::connect(address)).await;
+    for _ in 0..MAX_CONNECT_ATTEMPTS {
+        let connecting = clock::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         if matches!(connecting, Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused) {
             return true;
         }
-        clock::sleep(LISTEN_PAUSE).await;
+        clock::sleep(CONNECT_INTERVAL).await;
     }
     false
 }
 
-/// Returns the strikes that travel with a probe.
-pub fn probe_strikes(node: &Node) -> Vec<CrashReport> {
-    let mut notes = node.gate.book().reports(node.now());
-    notes.sort_by_key(|note| note.age_ms);
-    notes.truncate(PROBE_STRIKES);
-    notes
+/// Returns the crash reports to send with a probe.
+pub fn recent_crash_reports(node: &Node) -> Vec<CrashReport> {
+    let mut reports = node.content_blocker.tracker().reports(node.now());
+    reports.sort_by_key(|report| report.age_ms);
+    reports.truncate(MAX_PROBE_REPORTS);
+    reports
 }
 
-/// Takes over the strikes that came with a probe.
-pub fn hear_strikes(node: &Arc<Node>, notes: &[CrashReport]) {
+/// Merges the crash reports of a probe, and forwards them at once if any is new.
+pub fn merge_crash_reports(node: &Arc<Node>, reports: &[CrashReport]) {
     let now = node.now();
-    let mut book = node.gate.book();
-    let news = notes.iter().filter(|note| book.merge(now, note)).count();
-    drop(book);
-    if news > 0 {
+    let mut tracker = node.content_blocker.tracker();
+    let new_reports = reports.iter().filter(|report| tracker.merge(now, report)).count();
+    drop(tracker);
+    if new_reports > 0 {
         member_loop::probe_some(node, &GossipSettings::default());
     }
 }
--- a/crates/trestlerackd/src/request/dispatchers.rs
+++ b/crates/trestlerackd/src/request/dispatchers.rs
@@ -1,4 +1,4 @@
-//! The dispatchers of the engines that this node owns, one per model, in shards.
+//! Dispatch of calls to the engines that this node owns, and the rollout of weights to them.
 
 use super::shards::Sharded;
 use crate::process::clock::SystemClock;
@@ -23,7 +23,7 @@
 };
 use trestlerack::{Failure, Name, Timestamp, event};
 
-/// A call's turn: the engine to send it to.
+/// Engine with a slot that was granted to a call.
 pub struct Grant {
     /// Name of the engine.
     pub engine: Name,
@@ -33,31 +33,32 @@
     pub address: Name,
 }
 
-/// Answer of a dispatcher to one call.
+/// Outcome of the dispatch of one call.
 pub type GrantResult = Result<Grant, Failure>;
 
-struct ModelDesk {
+/// Dispatcher and rollout of one model's engines.
+struct ModelState {
     model: Name,
     dispatcher: EngineDispatcher,
     rollout: RolloutPlanner,
-    waiting: HashMap<u64, oneshot::Sender<GrantResult>>,
+    grant_senders: HashMap<u64, oneshot::Sender<GrantResult>>,
 }
 
-type ModelDesks = HashMap<Name, ModelDesk>;
+type ModelStates = HashMap<Name, ModelState>;
 
-/// Dispatchers by model.
-pub struct DeskTable {
+/// Dispatchers and rollouts of the owned engines by model, and the availability of backend servers.
+pub struct DispatcherTable {
     dispatch_settings: DispatchSettings,
     rollout_settings: RolloutSettings,
-    desks: Sharded<ModelDesks>,
+    models: Sharded<ModelStates>,
     engines: RwLock<BTreeMap<Name, Backend>>,
-    leaving: Mutex<DrainingServers>,
+    draining: Mutex<DrainingServers>,
     unreachable: Mutex<HashSet<Name>>,
     last_id: AtomicU64,
     recorder: Arc<TraceRecorder>,
 }
 
-impl DeskTable {
+impl DispatcherTable {
     /// Builds an empty table.
     pub fn new(settings: &DaemonSettings, recorder: Arc<TraceRecorder>) -> Self {
         let rollout_settings = RolloutSettings {
@@ -73,9 +74,9 @@
                 ..DispatchSettings::default()
             },
             rollout_settings,
-            desks: Sharded::default(),
+            models: Sharded::default(),
             engines: RwLock::default(),
-            leaving: Mutex::default(),
+            draining: Mutex::default(),
             unreachable: Mutex::default(),
             last_id: AtomicU64::new(0),
             recorder,
@@ -95,127 +96,128 @@
             by_model.entry(backend.service.clone()).or_default().push(backend.clone());
         }
         *self.engines.write().unwrap() = engines;
-        for mut shard in self.desks.each() {
-            for (model, desk) in shard.iter_mut() {
+        for mut shard in self.models.each() {
+            for (model, state) in shard.iter_mut() {
                 let backends = by_model.remove(model).unwrap_or_default();
-                self.replace_engines(now, desk, &backends);
+                self.replace_engines(now, state, &backends);
             }
         }
         for (model, backends) in by_model {
-            let mut shard = self.desks.lock(&model);
-            let desk = self.desk(&mut shard, &model);
-            self.replace_engines(now, desk, &backends);
+            let mut shard = self.models.lock(&model);
+            let state = self.model_state(&mut shard, &model);
+            self.replace_engines(now, state, &backends);
         }
     }
 
-    /// Queues a call; the receiver gets its turn or its refusal.
-    pub fn arrive(&self, now: Timestamp, model: &Name, call: QueuedCall) -> oneshot::Receiver<GrantResult> {
+    /// Queues a call. The receiver gets its grant, or the failure with which it was rejected.
+    pub fn enqueue(&self, now: Timestamp, model: &Name, call: QueuedCall) -> oneshot::Receiver<GrantResult> {
         let (sender, receiver) = oneshot::channel();
-        let mut shard = self.desks.lock(model);
-        let desk = self.desk(&mut shard, model);
-        desk.waiting.insert(call.id, sender);
-        self.dispatch(now, desk, DispatchEvent::Arrived(call));
+        let mut shard = self.models.lock(model);
+        let state = self.model_state(&mut shard, model);
+        state.grant_senders.insert(call.id, sender);
+        self.dispatch(now, state, DispatchEvent::Arrived(call));
         receiver
     }
 
-    /// Returns an id for a call.
+    /// Returns the id of a new call.
     pub fn next_id(&self) -> u64 {
         self.last_id.fetch_add(1, Ordering::Relaxed)
     }
 
     /// Records that a started call ended.
-    pub fn ended(&self, now: Timestamp, model: &Name, id: u64, good: bool, tokens: u32) {
-        self.tell(now, model, DispatchEvent::Ended { id, succeeded: good, tokens });
+    pub fn record_end(&self, now: Timestamp, model: &Name, id: u64, succeeded: bool, tokens: u32) {
+        self.send_event(now, model, DispatchEvent::Ended { id, succeeded, tokens });
     }
 
-    /// Records that a call is no longer wanted.
-    pub fn cancelled(&self, now: Timestamp, model: &Name, id: u64) {
-        self.tell(now, model, DispatchEvent::Cancelled { id });
+    /// Cancels a call that is queued or running.
+    pub fn cancel(&self, now: Timestamp, model: &Name, id: u64) {
+        self.send_event(now, model, DispatchEvent::Cancelled { id });
     }
 
     /// Returns the load of this node's engines of one model.
     pub fn load(&self, now: Timestamp, model: &Name) -> NodeLoad {
-        let shard = self.desks.lock(model);
-        let Some(desk) = shard.get(model) else { return NodeLoad::default() };
-        let (slots, in_flight, queued) = desk.dispatcher.load(now);
-        NodeLoad { slots, in_flight, queued, millis_per_token: desk.dispatcher.millis_per_token() }
+        let shard = self.models.lock(model);
+        let Some(state) = shard.get(model) else { return NodeLoad::default() };
+        let (slots, in_flight, queued) = state.dispatcher.load(now);
+        NodeLoad { slots, in_flight, queued, millis_per_token: state.dispatcher.millis_per_token() }
     }
 
-    /// Lets time pass; returns the orders to send.
+    /// Runs the timers of all models and returns the orders to send.
     pub fn tick(&self, now: Timestamp) -> Vec<EngineOrder> {
         let mut orders = Vec::new();
-        for mut shard in self.desks.each() {
-            for desk in shard.values_mut() {
-                self.dispatch(now, desk, DispatchEvent::Tick);
-                orders.extend(desk.rollout.handle(now, RolloutEvent::Tick));
+        for mut shard in self.models.each() {
+            for state in shard.values_mut() {
+                self.dispatch(now, state, DispatchEvent::Tick);
+                orders.extend(state.rollout.handle(now, RolloutEvent::Tick));
             }
         }
         orders
     }
 
-    /// Takes in a weight target; returns the orders to send.
+    /// Sets the weight target of a model and returns the orders to send.
     pub fn set_target(&self, now: Timestamp, target: WeightTarget) -> Vec<EngineOrder> {
-        let mut shard = self.desks.lock(&target.model);
-        let desk = self.desk(&mut shard, &target.model);
-        desk.rollout.handle(now, RolloutEvent::Target(target))
+        let mut shard = self.models.lock(&target.model);
+        let state = self.model_state(&mut shard, &target.model);
+        state.rollout.handle(now, RolloutEvent::Target(target))
     }
 
-    /// Returns the targeted version of a model.
+    /// Returns the target version of a model.
     pub fn target_version(&self, model: &Name) -> Option<WeightVersion> {
-        let shard = self.desks.lock(model);
-        shard.get(model).and_then(|desk| Some(desk.rollout.target()?.version))
+        let shard = self.models.lock(model);
+        shard.get(model).and_then(|state| Some(state.rollout.target()?.version))
     }
 
-    /// Takes in an engine's status; returns the orders to send.
-    pub fn hear_status(&self, now: Timestamp, engine: &Name, status: &EngineStatus) -> Vec<EngineOrder> {
+    /// Records the status of an engine and returns the orders to send.
+    pub fn record_status(&self, now: Timestamp, engine: &Name, status: &EngineStatus) -> Vec<EngineOrder> {
         self.set_reachable(now, engine, true);
-        self.engine_answered(now, engine, status.leaving);
-        status.loaded_version.map_or_else(Vec::new, |version| self.hear_version(now, engine, version))
+        self.record_draining(now, engine, status.leaving);
+        status.loaded_version.map_or_else(Vec::new, |version| self.record_version(now, engine, version))
     }
 
-    /// Takes in a version that an engine named; returns the orders to send.
-    pub fn hear_version(&self, now: Timestamp, engine: &Name, version: WeightVersion) -> Vec<EngineOrder> {
+    /// Records the version that an engine reports and returns the orders to send.
+    pub fn record_version(&self, now: Timestamp, engine: &Name, version: WeightVersion) -> Vec<EngineOrder> {
         let Some(model) = self.model_of(engine) else { return Vec::new() };
-        let mut shard = self.desks.lock(&model);
-        let desk = self.desk(&mut shard, &model);
-        self.dispatch(now, desk, DispatchEvent::VersionReported { engine: engine.clone(), version });
-        desk.rollout.handle(now, RolloutEvent::VersionReported { engine: engine.clone(), version })
+        let mut shard = self.models.lock(&model);
+        let state = self.model_state(&mut shard, &model);
+        self.dispatch(now, state, DispatchEvent::VersionReported { engine: engine.clone(), version });
+        state.rollout.handle(now, RolloutEvent::VersionReported { engine: engine.clone(), version })
     }
 
-    /// Records a failed order; returns the orders to send.
-    pub fn order_failed(&self, now: Timestamp, engine: &Name) -> Vec<EngineOrder> {
+    /// Records a failed order and returns the orders to send.
+    pub fn record_order_failure(&self, now: Timestamp, engine: &Name) -> Vec<EngineOrder> {
         let Some(model) = self.model_of(engine) else { return Vec::new() };
-        let mut shard = self.desks.lock(&model);
-        let desk = self.desk(&mut shard, &model);
-        let orders = desk.rollout.handle(now, RolloutEvent::OrderFailed { engine: engine.clone() });
-        if desk.rollout.progress().get(engine).is_some_and(|progress| progress.is_cooling_down) {
+        let mut shard = self.models.lock(&model);
+        let state = self.model_state(&mut shard, &model);
+        let orders = state.rollout.handle(now, RolloutEvent::OrderFailed { engine: engine.clone() });
+        if state.rollout.progress().get(engine).is_some_and(|progress| progress.is_cooling_down) {
             logs::write(event::ENGINE_SET_ASIDE, &[("engine", engine)]);
         }
         orders
     }
 
-    /// Returns the owned engines, and their addresses, that should be asked for their status at
-    /// the tick `number`: each one now and then, and at every tick those that cannot be reached,
-    /// have named no version or are swapping.
+    /// Returns names and addresses of the owned engines whose status is polled at `tick`.
     ///
-    /// What a healthy engine does shows in its answers, so asking all of them at every tick would
-    /// only cost bytes, order engines times rate ([docs/CAPACITY.md](../../../../docs/CAPACITY.md)).
-    pub fn due_for_status(&self, number: u64) -> Vec<(Name, Name)> {
-        // Copies, because looking at a desk below takes its lock, and no lock is taken under another.
+    /// Each engine is polled every [`POLL_INTERVAL_TICKS`]. Engines that are unreachable, have reported no
+    /// version or are swapping weights are polled at every tick.
+    ///
+    /// The responses of a healthy engine show its state, so polling all engines at every tick would only
+    /// add traffic in the order of engines times rate ([docs/CAPACITY.md](../../../../docs/CAPACITY.md)).
+    pub fn engines_to_poll(&self, tick: u64) -> Vec<(Name, Name)> {
+        // Copied because `needs_poll` locks the state of a model, and locks are not nested.
         let engines: Vec<Backend> = self.engines.read().unwrap().values().cloned().collect();
         let unreachable = self.unreachable.lock().unwrap().clone();
         let is_due = |backend: &Backend| {
-            let phase = hash_parts(&[&backend.name]) % STATUS_TICKS;
-            number % STATUS_TICKS == phase || unreachable.contains(&backend.name) || self.is_unsettled(backend)
+            let phase = hash_parts(&[&backend.name]) % POLL_INTERVAL_TICKS;
+            tick % POLL_INTERVAL_TICKS == phase || unreachable.contains(&backend.name) || self.needs_poll(backend)
         };
         let due = engines.into_iter().filter(is_due);
         due.map(|backend| (backend.name, backend.address)).collect()
     }
 
-    fn is_unsettled(&self, backend: &Backend) -> bool {
-        let shard = self.desks.lock(&backend.service);
-        let Some(desk) = shard.get(&backend.service) else { return true };
-        desk.rollout.loaded_version(&backend.name).is_none() || desk.rollout.is_swapping(&backend.name)
+    fn needs_poll(&self, backend: &Backend) -> bool {
+        let shard = self.models.lock(&backend.service);
+        let Some(state) = shard.get(&backend.service) else { return true };
+        state.rollout.loaded_version(&backend.name).is_none() || state.rollout.is_swapping(&backend.name)
     }
 
     /// Returns the address of an owned engine.
@@ -223,137 +225,138 @@
         self.engines.read().unwrap().get(engine).map(|backend| backend.address.clone())
     }
 
-    /// Returns the versions held by the engines of each owned model.
+    /// Returns the versions that the engines of each owned model have loaded.
     pub fn progress(&self) -> BTreeMap<Name, BTreeMap<Name, Option<WeightVersion>>> {
         let mut models = BTreeMap::new();
-        for shard in self.desks.each() {
-            for (model, desk) in shard.iter() {
-                let engines = desk.rollout.progress().into_iter().map(|(name, state)| (name, state.loaded_version));
+        for shard in self.models.each() {
+            for (model, state) in shard.iter() {
+                let engines = state.rollout.progress().into_iter().map(|(name, engine)| (name, engine.loaded_version));
                 models.insert(model.clone(), engines.collect());
             }
         }
         models
     }
 
-    /// Takes in what the configuration says of a backend server.
-    pub fn set_declared(&self, backend: &Name, leaving: bool) {
-        self.leaving.lock().unwrap().set_declared(backend, leaving);
+    /// Sets whether the configuration declares a backend server as draining.
+    pub fn set_declared_draining(&self, backend: &Name, draining: bool) {
+        self.draining.lock().unwrap().set_declared(backend, draining);
     }
 
-    /// Takes in the backend servers that the platform's list calls leaving.
-    pub fn listed_leaving(&self, now: Timestamp, leaving: &[Name]) {
-        let changed = self.leaving.lock().unwrap().merge_list(leaving, SystemClock::unix_millis(), PEERS_ESTIMATE);
+    /// Merges the draining backend servers of the platform's membership list.
+    pub fn merge_drain_list(&self, now: Timestamp, draining: &[Name]) {
+        let changed =
+            self.draining.lock().unwrap().merge_list(draining, SystemClock::unix_millis(), ASSUMED_CLUSTER_SIZE);
         for backend in changed {
-            self.refresh_open(now, &backend);
+            self.refresh_availability(now, &backend);
         }
     }
 
-    /// Takes in a backend server's own answer.
-    pub fn engine_answered(&self, now: Timestamp, engine: &Name, leaving: bool) {
+    /// Records whether a backend server itself reported that it is draining.
+    pub fn record_draining(&self, now: Timestamp, engine: &Name, draining: bool) {
         let stamp = SystemClock::unix_millis();
-        self.leaving.lock().unwrap().record_answer(engine, leaving, stamp, PEERS_ESTIMATE);
-        self.refresh_open(now, engine);
+        self.draining.lock().unwrap().record_answer(engine, draining, stamp, ASSUMED_CLUSTER_SIZE);
+        self.refresh_availability(now, engine);
     }
 
-    /// Takes in an operator's order to leave a backend server alone, or to use it again.
-    pub fn ordered_leaving(&self, now: Timestamp, backend: &Name, leaving: bool) {
-        let news = DrainUpdate {
+    /// Drains a backend server by an operator's request, or ends the drain.
+    pub fn set_draining(&self, now: Timestamp, backend: &Name, draining: bool) {
+        let update = DrainUpdate {
             backend: backend.clone(),
             source: DrainSource::Operator,
-            leaving,
+            leaving: draining,
             stamp: SystemClock::unix_millis(),
         };
-        self.hear_news(now, news);
+        self.merge_drain_update(now, update);
     }
 
-    /// Takes in news from a peer.
-    pub fn hear_news(&self, now: Timestamp, news: DrainUpdate) {
-        let backend = news.backend.clone();
-        if self.leaving.lock().unwrap().merge(news, PEERS_ESTIMATE) {
-            self.refresh_open(now, &backend);
+    /// Merges a drain update from a peer.
+    pub fn merge_drain_update(&self, now: Timestamp, update: DrainUpdate) {
+        let backend = update.backend.clone();
+        if self.draining.lock().unwrap().merge(update, ASSUMED_CLUSTER_SIZE) {
+            self.refresh_availability(now, &backend);
         }
     }
 
-    /// Returns whether a backend server receives no new work.
-    pub fn is_leaving(&self, backend: &str) -> bool {
-        self.leaving.lock().unwrap().is_draining(backend)
+    /// Returns whether a backend server is draining and receives no new work.
+    pub fn is_draining(&self, backend: &str) -> bool {
+        self.draining.lock().unwrap().is_draining(backend)
     }
 
-    /// Takes the news to put on the next heartbeat.
-    pub fn take_news(&self) -> Vec<DrainUpdate> {
-        self.leaving.lock().unwrap().take_updates()
+    /// Takes the drain updates to send with the next heartbeat.
+    pub fn take_drain_updates(&self) -> Vec<DrainUpdate> {
+        self.draining.lock().unwrap().take_updates()
     }
 
-    /// Records whether an engine can be reached; one that cannot gets no work until it answers.
+    /// Records whether an engine is reachable. An unreachable engine gets no work until it responds.
     pub fn set_reachable(&self, now: Timestamp, engine: &Name, reachable: bool) {
         let mut unreachable = self.unreachable.lock().unwrap();
         let changed = if reachable { unreachable.remove(engine) } else { unreachable.insert(engine.clone()) };
         drop(unreachable);
         if changed {
             logs::write(event::ENGINE_REACHABLE, &[("engine", engine), ("reachable", &reachable)]);
-            self.refresh_open(now, engine);
+            self.refresh_availability(now, engine);
         }
     }
 
-    fn is_open(&self, engine: &str) -> bool {
-        !self.is_leaving(engine) && !self.unreachable.lock().unwrap().contains(engine)
+    fn accepts_work(&self, engine: &str) -> bool {
+        !self.is_draining(engine) && !self.unreachable.lock().unwrap().contains(engine)
     }
 
-    fn refresh_open(&self, now: Timestamp, engine: &Name) {
+    fn refresh_availability(&self, now: Timestamp, engine: &Name) {
         let Some(model) = self.model_of(engine) else { return };
-        let open = self.is_open(engine);
-        self.tell(now, &model, DispatchEvent::Availability { engine: engine.clone(), accepts_work: open });
+        let accepts_work = self.accepts_work(engine);
+        self.send_event(now, &model, DispatchEvent::Availability { engine: engine.clone(), accepts_work });
     }
 
     fn model_of(&self, engine: &str) -> Option<Name> {
         self.engines.read().unwrap().get(engine).map(|backend| backend.service.clone())
     }
 
-    fn tell(&self, now: Timestamp, model: &Name, event: DispatchEvent) {
-        let mut shard = self.desks.lock(model);
-        if let Some(desk) = shard.get_mut(model) {
-            self.dispatch(now, desk, event);
+    fn send_event(&self, now: Timestamp, model: &Name, event: DispatchEvent) {
+        let mut shard = self.models.lock(model);
+        if let Some(state) = shard.get_mut(model) {
+            self.dispatch(now, state, event);
         }
     }
 
-    fn desk<'a>(&self, shard: &'a mut ModelDesks, model: &Name) -> &'a mut ModelDesk {
-        shard.entry(model.clone()).or_insert_with(|| ModelDesk {
+    fn model_state<'a>(&self, shard: &'a mut ModelStates, model: &Name) -> &'a mut ModelState {
+        shard.entry(model.clone()).or_insert_with(|| ModelState {
             model: model.clone(),
             dispatcher: EngineDispatcher::new(self.dispatch_settings.clone()),
             rollout: RolloutPlanner::new(self.rollout_settings.clone()),
-            waiting: HashMap::new(),
+            grant_senders: HashMap::new(),
         })
     }
 
-    fn replace_engines(&self, now: Timestamp, desk: &mut ModelDesk, backends: &[Backend]) {
+    fn replace_engines(&self, now: Timestamp, state: &mut ModelState, backends: &[Backend]) {
         let engines = backends.iter().map(|backend| DispatchEngine {
             name: backend.name.clone(),
             zone: backend.zone.clone(),
             slots: backend.slots,
         });
-        self.dispatch(now, desk, DispatchEvent::Engines(engines.collect()));
+        self.dispatch(now, state, DispatchEvent::Engines(engines.collect()));
         let engines = backends
             .iter()
             .map(|backend| RolloutEngine { name: backend.name.clone(), checks_fencing: backend.checks_fencing });
-        // The orders that follow are sent at the next tick, half a second away at most.
-        let _ = desk.rollout.handle(now, RolloutEvent::Engines(engines.collect()));
+        // The resulting orders are sent at the next tick, at most half a second later.
+        let _ = state.rollout.handle(now, RolloutEvent::Engines(engines.collect()));
         for backend in backends {
-            let open = self.is_open(&backend.name);
-            self.dispatch(now, desk, DispatchEvent::Availability { engine: backend.name.clone(), accepts_work: open });
+            let accepts_work = self.accepts_work(&backend.name);
+            self.dispatch(now, state, DispatchEvent::Availability { engine: backend.name.clone(), accepts_work });
         }
     }
 
-    fn dispatch(&self, now: Timestamp, desk: &mut ModelDesk, event: DispatchEvent) {
+    fn dispatch(&self, now: Timestamp, state: &mut ModelState, event: DispatchEvent) {
         let captured = self.recorder.capture(&event);
-        let actions = desk.dispatcher.handle(now, event);
+        let actions = state.dispatcher.handle(now, event);
         let head = || TraceHead::Dispatcher { settings: self.dispatch_settings.clone() };
-        self.recorder.record(&format!("dispatcher-{}", desk.model), head, now, captured, &actions);
+        self.recorder.record(&format!("dispatcher-{}", state.model), head, now, captured, &actions);
         for action in actions {
             match action {
-                DispatchAction::Start { id, engine } => self.grant(now, desk, id, &engine),
+                DispatchAction::Start { id, engine } => self.grant(now, state, id, &engine),
                 DispatchAction::Refuse { id, failure } => {
-                    if let Some(sender) = desk.waiting.remove(&id) {
-                        // A caller that went away needs no answer.
+                    if let Some(sender) = state.grant_senders.remove(&id) {
+                        // Fails only if the caller is gone.
                         let _ = sender.send(Err(failure));
                     }
                 }
@@ -364,23 +367,23 @@
         }
     }
 
-    fn grant(&self, now: Timestamp, desk: &mut ModelDesk, id: u64, engine: &Name) {
-        let sender = desk.waiting.remove(&id);
+    fn grant(&self, now: Timestamp, state: &mut ModelState, id: u64, engine: &Name) {
+        let sender = state.grant_senders.remove(&id);
         let backend = self.engines.read().unwrap().get(engine).cloned();
         let granted = sender.zip(backend).is_some_and(|(sender, backend)| {
             let grant = Grant { engine: engine.clone(), zone: backend.zone, address: backend.address };
             sender.send(Ok(grant)).is_ok()
         });
-        // The caller went away while its turn came, so the slot is free again.
+        // The caller is gone, so the slot is free again.
         if !granted {
-            self.dispatch(now, desk, DispatchEvent::Cancelled { id });
+            self.dispatch(now, state, DispatchEvent::Cancelled { id });
         }
     }
 }
 
-/// Ticks between two looks at the status of a healthy engine: ten seconds.
-const STATUS_TICKS: u64 = 20;
+/// Ticks between two status polls of a healthy engine: 10 seconds.
+const POLL_INTERVAL_TICKS: u64 = 20;
 
-/// Cluster size assumed for the repetition of news, at the design size; repeating it more often
-/// in a small cluster costs a few bytes.
-const PEERS_ESTIMATE: usize = 370;
+/// Number of nodes from which the number of retransmissions of a drain update follows. It is the
+/// design size; the additional retransmissions in a smaller cluster cost a few bytes.
+const ASSUMED_CLUSTER_SIZE: usize = 370;
--- a/crates/trestlerackd/src/request/engine_client.rs
+++ b/crates/trestlerackd/src/request/engine_client.rs
@@ -1,4 +1,4 @@
-//! Model engines, met by the completions protocol with server-sent events.
+//! Client of model engines: completions as server-sent events, status and orders.
 
 use crate::connection::http_client::{HttpAnswer, HttpClient, read_whole};
 use crate::process::clock;
@@ -16,19 +16,19 @@
 use trestlerack::version::{EngineOrder, WeightVersion};
 use trestlerack::{Failure, Name};
 
-/// Data of the event that ends a stream.
-pub const DONE: &str = "[DONE]";
+/// Data of the event that marks the end of a complete stream.
+pub const STREAM_END: &str = "[DONE]";
 
-/// Longest silence of an engine within a stream.
+/// Longest time between two events of a stream.
 const CHUNK_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time for a status answer.
+/// Timeout of a status request.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Header with which a backend server says that it is leaving.
-const LEAVING_HEADER: &str = "x-leaving";
+/// Header with which a backend server reports that it is draining.
+const DRAINING_HEADER: &str = "x-leaving";
 
-/// Model engines over HTTP.
+/// Client of model engines over HTTP.
 pub struct HttpEngineClient {
     http: HttpClient,
     order_timeout: Duration,
@@ -36,7 +36,8 @@
 }
 
 impl HttpEngineClient {
-    /// Builds a client whose orders may take `order_timeout` and ask for a staged swap or not.
+    /// Builds a client. An order times out after `order_timeout` and asks the engine for a staged swap
+    /// of weights if `staged_swap` is set.
     pub fn new(http: HttpClient, order_timeout: Duration, staged_swap: bool) -> Self {
         Self { http, order_timeout, staged_swap }
     }
@@ -53,7 +54,7 @@
     offset: u32,
 }
 
-/// One event of a completion stream, as engines send it and as callers get it.
+/// One event of a completion stream, as engines send it and callers receive it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CompletionEvent {
     /// Kind of object; fixed by the protocol.
@@ -62,7 +63,7 @@
     pub model: Name,
     /// Generated text; one choice only.
     pub choices: Vec<CompletionChoice>,
-    /// Weight version that made the tokens.
+    /// Weight version that generated the tokens.
     #[serde(default)]
     pub weight_version: Option<WeightVersion>,
     /// Incarnation of the engine.
@@ -105,37 +106,37 @@
     async fn complete(&self, address: &str, call: &CallSpec, sink: &mut dyn ChunkSink) -> Result<(), Failure> {
         let response = self.http.send(completion_request(address, call)?).await?;
         if !response.status().is_success() {
-            return Err(refusal(read_whole(response).await?));
+            return Err(rejection(read_whole(response).await?));
         }
         let mut events = response.into_body().into_data_stream().eventsource();
         loop {
             let event = match clock::timeout(CHUNK_TIMEOUT, events.next()).await {
                 Ok(Some(Ok(event))) => event,
-                Ok(Some(Err(error))) => return Err(broken(&format!("the stream broke: {error}"))),
-                Ok(None) => return Err(broken("the stream ended without its end mark")),
-                Err(_) => return Err(broken("the engine fell silent")),
+                Ok(Some(Err(error))) => return Err(backend_failure(&format!("the stream broke: {error}"))),
+                Ok(None) => return Err(backend_failure("the stream ended without [DONE]")),
+                Err(_) => return Err(backend_failure("the engine sent no event in time")),
             };
-            if event.data == DONE {
+            if event.data == STREAM_END {
                 return Ok(());
             }
             let parsed = serde_json::from_str::<CompletionEvent>(&event.data);
-            let parsed = parsed.map_err(|error| broken(&format!("not a completion event: {error}")))?;
+            let parsed = parsed.map_err(|error| backend_failure(&format!("invalid completion event: {error}")))?;
             if parsed.tokens > 0 && !sink.accept(parsed.into_chunk()).await {
-                return Err(broken("the rest of the answer is not wanted"));
+                return Err(backend_failure("the receiver of the response is gone"));
             }
         }
     }
 
     async fn status(&self, address: &str) -> Result<EngineStatus, Failure> {
-        let answer = self.http.send_bytes(hyper::Method::GET, address, "/status", Vec::new(), STATUS_TIMEOUT);
-        decode_status(answer.await?)
+        let response = self.http.send_bytes(hyper::Method::GET, address, "/status", Vec::new(), STATUS_TIMEOUT);
+        decode_status(response.await?)
     }
 
     async fn order(&self, address: &str, order: &EngineOrder) -> Result<EngineStatus, Failure> {
         let body =
             serde_json::json!({ "hold_version": order.version, "fence": order.fence, "staged": self.staged_swap });
-        let answer = self.http.post_json(address, "/orders", &body, self.order_timeout).await?;
-        decode_status(answer)
+        let response = self.http.post_json(address, "/orders", &body, self.order_timeout).await?;
+        decode_status(response)
     }
 }
 
@@ -149,7 +150,7 @@
         seed: call.seed,
         offset: call.offset,
     };
-    let encoded = serde_json::to_vec(&body).expect("a completion request always encodes");
+    let encoded = serde_json::to_vec(&body).expect("a completion request is always serializable");
     let mut request = Request::builder()
         .method(hyper::Method::POST)
         .uri(format!("http://{address}/v1/completions"))
@@ -159,27 +160,30 @@
     }
     request
         .body(Full::new(Bytes::from(encoded)))
-        .map_err(|_| Failure::not_run(Reason::BadRequest, "the engine's address cannot be used"))
+        .map_err(|_| Failure::not_run(Reason::BadRequest, "the engine's address is invalid"))
 }
 
-/// An engine that refuses with an explicit status did not run the call.
-fn refusal(answer: HttpAnswer) -> Failure {
-    let detail = String::from_utf8_lossy(&answer.body).into_owned();
-    Failure::not_run(Reason::BackendFailed, format!("the engine refused with {}: {detail}", answer.status))
+/// Converts an error status of an engine. An engine that rejects with a status did not run the call.
+fn rejection(response: HttpAnswer) -> Failure {
+    let detail = String::from_utf8_lossy(&response.body).into_owned();
+    Failure::not_run(
+        Reason::BackendFailed,
+        format!("the engine rejected the request with {}: {detail}", response.status),
+    )
 }
 
-fn decode_status(answer: HttpAnswer) -> Result<EngineStatus, Failure> {
-    if !answer.status.is_success() {
-        return Err(refusal(answer));
+fn decode_status(response: HttpAnswer) -> Result<EngineStatus, Failure> {
+    if !response.status.is_success() {
+        return Err(rejection(response));
     }
-    serde_json::from_slice(&answer.body).map_err(|error| broken(&format!("not a status: {error}")))
+    serde_json::from_slice(&response.body).map_err(|error| backend_failure(&format!("invalid engine status: {error}")))
 }
 
-fn broken(detail: &str) -> Failure {
+fn backend_failure(detail: &str) -> Failure {
     Failure::may_have_run(Reason::BackendFailed, detail)
 }
 
-/// Returns whether a backend server says in its answer's header that it is leaving.
-pub fn says_leaving(headers: &hyper::HeaderMap) -> bool {
-    headers.contains_key(LEAVING_HEADER)
+/// Returns whether the headers of a response say that the backend server is draining.
+pub fn reports_draining(headers: &hyper::HeaderMap) -> bool {
+    headers.contains_key(DRAINING_HEADER)
 }
--- a/crates/trestlerackd/src/request/group_record.rs
+++ b/crates/trestlerackd/src/request/group_record.rs
@@ -1,4 +1,4 @@
-//! Records made groups and says how that ended.
+//! Records generated groups in the step store and logs the outcome.
 
 use crate::node::Node;
 use crate::process::logs;
@@ -7,7 +7,7 @@
 use trestlerack::interfaces::StoreError;
 use trestlerack::process::{GeneratedGroup, RecordOutcome};
 
-/// Records a group. Repeating it is harmless, also when an earlier answer was lost.
+/// Records a group. This is idempotent, so it can be repeated after a lost response.
 pub async fn record(node: &Arc<Node>, group: &GeneratedGroup) -> Result<RecordOutcome, StoreError> {
     let outcome = node.step_store().record(group).await;
     match outcome {
--- a/crates/trestlerackd/src/request/group_runner.rs
+++ b/crates/trestlerackd/src/request/group_runner.rs
@@ -1,8 +1,8 @@
-//! Makes the samples of a group that this node owns.
+//! Generates the samples of a group that this node owns.
 
 use super::call_driver::{CallSink, HEDGE_PRIORITY, drive};
-use super::call_router::has_spare;
-use super::content_blocking::{self, GuardedSend};
+use super::call_router::has_free_slot;
+use super::content_blocking::{self, BackendRequest};
 use super::group_record::record;
 use crate::node::Node;
 use crate::process::stop::WorkGuard;
@@ -23,91 +23,92 @@
 use trestlerack::version::{BackendKind, Campaign, WeightVersion};
 use trestlerack::{Failure, Name, event};
 
-/// Interval at which stragglers and waits are looked at.
-const TICK: Duration = Duration::from_millis(25);
+/// Interval at which the driver of a group checks for stragglers and delayed attempts.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Time that a sample's call may take in all.
-const SAMPLE_DEADLINE: Duration = Duration::from_secs(120);
+/// Timeout of a sample's call, over all its attempts.
+const SAMPLE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Priority of a sample of a step that is not the next one; applications' calls go before it.
+/// Priority of a sample of a step that is not the next one, below that of applications' calls.
 const SAMPLE_PRIORITY: u8 = 10;
 
 /// Priority of a sample of the step that its trainer waits for next.
 const NEXT_STEP_PRIORITY: u8 = 15;
 
-/// Tries at scoring a sample, each on another scoring service.
-const SCORE_TRIES: usize = 3;
+/// Largest number of attempts to score a sample, each on another scoring server.
+const MAX_SCORE_ATTEMPTS: usize = 3;
 
-type AttemptEnd = (usize, u32, Result<Sample, Failure>);
+/// Index of the sample, number of the attempt, and its result.
+type AttemptResult = (usize, u32, Result<Sample, Failure>);
 
-/// Begins a group, unless it is in progress here or this node can take on nothing new.
-pub fn begin(node: &Arc<Node>, wanted: GroupRequest) {
+/// Starts to generate a group, unless it is in progress, this node is stopping or its spool is full.
+pub fn begin(node: &Arc<Node>, request: GroupRequest) {
     if node.stop.is_stopping() || !node.spool.has_room() {
         return;
     }
-    let Some(key) = node.wanted.begin(&wanted) else { return };
+    let Some(key) = node.wanted.begin(&request) else { return };
     let node = node.clone();
     tokio::spawn(async move {
         let _work = WorkGuard::new(&node);
-        run_group(&node, &wanted).await;
+        run_group(&node, &request).await;
         node.wanted.end(&key);
     });
 }
 
-async fn run_group(node: &Arc<Node>, wanted: &GroupRequest) {
-    let Some((campaign, samples)) = make_group(node, wanted).await else {
-        let key = &wanted.spec.group;
-        logs::write(event::GROUP_FAILED, &[("campaign", &wanted.campaign), ("step", &wanted.step), ("group", key)]);
+async fn run_group(node: &Arc<Node>, request: &GroupRequest) {
+    let Some((campaign, samples)) = generate_group(node, request).await else {
+        let key = &request.spec.group;
+        logs::write(event::GROUP_FAILED, &[("campaign", &request.campaign), ("step", &request.step), ("group", key)]);
         return;
     };
-    let group = made_group(node, wanted, &samples);
+    let group = build_group(node, request, &samples);
     match record(node, &group).await {
         Ok(_) => step_loop::nudge_owner(node, &campaign).await,
         Err(_) => spool::store(node, group).await,
     }
 }
 
-/// Makes a group under the campaign as it stands, and anew when its places change on the way.
-async fn make_group(node: &Arc<Node>, wanted: &GroupRequest) -> Option<(Campaign, Vec<Sample>)> {
+/// Generates a group for the current campaign, and starts again if its allowed zones change meanwhile.
+async fn generate_group(node: &Arc<Node>, request: &GroupRequest) -> Option<(Campaign, Vec<Sample>)> {
     loop {
-        let campaign = node.config.current().campaign(&wanted.campaign).cloned()?;
+        let campaign = node.config.current().campaign(&request.campaign).cloned()?;
         if !campaign.allowed_zones.allows(&node.settings.zone) {
             return None;
         }
-        match make_samples(node, &campaign, wanted).await {
-            GroupOutcome::Made(samples) => return Some((campaign, samples)),
-            GroupOutcome::PlacesChanged => {}
-            GroupOutcome::GivenUp => return None,
+        match generate_samples(node, &campaign, request).await {
+            GroupOutcome::Generated(samples) => return Some((campaign, samples)),
+            GroupOutcome::ZonesChanged => {}
+            GroupOutcome::GaveUp => return None,
         }
     }
 }
 
-/// How one run of a group's driver ended.
+/// Outcome of one run of a group's driver.
 enum GroupOutcome {
-    /// Every sample is made, where the campaign allows it.
-    Made(Vec<Sample>),
-    /// The campaign's places changed; what was made is discarded.
-    PlacesChanged,
-    /// A sample used up its attempts.
-    GivenUp,
+    /// All samples were generated in allowed zones.
+    Generated(Vec<Sample>),
+    /// The campaign's allowed zones changed, so the samples are discarded.
+    ZonesChanged,
+    /// A sample has no attempts left.
+    GaveUp,
 }
 
-/// Returns whether a campaign still has the places that a run began with.
-fn has_places(node: &Node, campaign: &Campaign) -> bool {
+/// Returns whether a campaign still has the allowed zones with which a run began.
+fn has_same_zones(node: &Node, campaign: &Campaign) -> bool {
     let config = node.config.current();
     config.campaign(&campaign.name).is_some_and(|current| current.allowed_zones == campaign.allowed_zones)
 }
 
-fn made_group(node: &Node, wanted: &GroupRequest, samples: &[Sample]) -> GeneratedGroup {
+fn build_group(node: &Node, request: &GroupRequest, samples: &[Sample]) -> GeneratedGroup {
     let mut lines = String::new();
     for sample in samples {
-        lines.push_str(&serde_json::to_string(sample).expect("a sample always encodes"));
+        lines.push_str(&serde_json::to_string(sample).expect("a sample is always serializable"));
         lines.push('\n');
     }
     GeneratedGroup {
-        campaign: wanted.campaign.clone(),
-        step: wanted.step,
-        group: wanted.spec.group.clone(),
+        campaign: request.campaign.clone(),
+        step: request.step,
+        group: request.spec.group.clone(),
         oldest_version: samples.iter().map(Sample::oldest_version).min().unwrap_or(0),
         first_unix: samples.iter().map(|sample| sample.first_unix).min().unwrap_or(0),
         operation: node.operation_id(),
@@ -115,17 +116,17 @@
     }
 }
 
-/// Runs the group's driver to its end.
-async fn make_samples(node: &Arc<Node>, campaign: &Campaign, wanted: &GroupRequest) -> GroupOutcome {
-    let size = wanted.spec.size;
+/// Runs the driver of a group until it completes or gives up.
+async fn generate_samples(node: &Arc<Node>, campaign: &Campaign, request: &GroupRequest) -> GroupOutcome {
+    let size = request.spec.size;
     let mut driver = GroupDriver::new(group_settings(node), size);
-    let (sender, mut ends) = mpsc::channel::<AttemptEnd>(size.max(1));
+    let (sender, mut results) = mpsc::channel::<AttemptResult>(size.max(1));
     let mut samples: Vec<Option<Sample>> = vec![None; size];
     let progress: Vec<SharedProgress> = (0..size).map(|_| SharedProgress::default()).collect();
     let mut running = AttemptTasks::default();
-    let mut ticks = tokio::time::interval(TICK);
+    let mut ticks = tokio::time::interval(TICK_INTERVAL);
     let mut event = GroupEvent::Begin;
-    let made: Option<Vec<Sample>> = 'run: loop {
+    let generated: Option<Vec<Sample>> = 'run: loop {
         let may_hedge = || may_hedge(node, campaign);
         for action in driver.handle(node.now(), &event, may_hedge) {
             match action {
@@ -133,32 +134,32 @@
                     let shared = progress[index].clone();
                     let attempt = SampleAttempt { index, number: attempt, hedge, progress: shared };
                     let key = (index, attempt.number);
-                    let task = run_attempt(node.clone(), campaign.clone(), wanted.clone(), attempt, sender.clone());
+                    let task = run_attempt(node.clone(), campaign.clone(), request.clone(), attempt, sender.clone());
                     running.start(key, task);
                 }
                 GroupAction::Cancel { index, attempt } => running.cancel((index, attempt)),
                 GroupAction::Complete => break 'run samples.into_iter().collect(),
-                GroupAction::GiveUp => return GroupOutcome::GivenUp,
+                GroupAction::GiveUp => return GroupOutcome::GaveUp,
             }
         }
-        if !has_places(node, campaign) {
-            return GroupOutcome::PlacesChanged;
+        if !has_same_zones(node, campaign) {
+            return GroupOutcome::ZonesChanged;
         }
         event = tokio::select! {
-            Some(end) = ends.recv() => settle_attempt(node, &mut samples, end),
+            Some(result) = results.recv() => record_attempt(node, &mut samples, result),
             _ = ticks.tick() => GroupEvent::Tick,
         };
     };
-    match made {
-        Some(_) if !has_places(node, campaign) => GroupOutcome::PlacesChanged,
-        Some(samples) => GroupOutcome::Made(samples),
-        None => GroupOutcome::GivenUp,
+    match generated {
+        Some(_) if !has_same_zones(node, campaign) => GroupOutcome::ZonesChanged,
+        Some(samples) => GroupOutcome::Generated(samples),
+        None => GroupOutcome::GaveUp,
     }
 }
 
-/// A hedge needs a spare slot, and then spends from the retry budget.
+/// Returns whether an attempt may be hedged. That takes a free slot, and spends from the retry budget.
 fn may_hedge(node: &Node, campaign: &Campaign) -> bool {
-    has_spare(node, &campaign.model, &campaign.allowed_zones)
+    has_free_slot(node, &campaign.model, &campaign.allowed_zones)
         && node.budget.lock().unwrap().spend(&campaign.name, &campaign.model)
 }
 
@@ -168,7 +169,7 @@
     GroupSettings { hedge_factor, ..defaults }
 }
 
-/// The running attempts of a group; dropping it cancels them all.
+/// Running attempts of a group. Dropping it cancels them all.
 #[derive(Default)]
 struct AttemptTasks {
     tasks: HashMap<(usize, u32), tokio::task::AbortHandle>,
@@ -194,7 +195,7 @@
     }
 }
 
-fn settle_attempt(node: &Node, samples: &mut [Option<Sample>], (index, attempt, result): AttemptEnd) -> GroupEvent {
+fn record_attempt(node: &Node, samples: &mut [Option<Sample>], (index, attempt, result): AttemptResult) -> GroupEvent {
     match result {
         Ok(sample) => {
             node.telemetry.samples.add(1, &[]);
@@ -209,11 +210,11 @@
     }
 }
 
-/// The furthest that any attempt at a sample has come; later attempts go on from there.
+/// Longest text that any attempt at a sample has received. Later attempts continue from it.
 type SharedProgress = Arc<Mutex<Option<SampleAssembler>>>;
 
-/// Chunks after which an attempt shares how far it has come.
-const SHARE_EVERY: u32 = 4;
+/// Number of chunks after which an attempt shares its progress.
+const CHUNKS_PER_SHARE: u32 = 4;
 
 struct SampleAttempt {
     index: usize,
@@ -225,38 +226,38 @@
 async fn run_attempt(
     node: Arc<Node>,
     campaign: Campaign,
-    wanted: GroupRequest,
+    request: GroupRequest,
     attempt: SampleAttempt,
-    sender: mpsc::Sender<AttemptEnd>,
+    sender: mpsc::Sender<AttemptResult>,
 ) {
     let slots = node.sample_slots.clone();
     let Ok(_slot) = slots.acquire().await else { return };
-    let result = make_sample(&node, &campaign, &wanted, &attempt).await;
-    // A group that ended meanwhile needs no more attempts.
+    let result = generate_sample(&node, &campaign, &request, &attempt).await;
+    // Fails only if the group has ended.
     let _ = sender.send((attempt.index, attempt.number, result)).await;
 }
 
-async fn make_sample(
+async fn generate_sample(
     node: &Arc<Node>,
     campaign: &Campaign,
-    wanted: &GroupRequest,
+    request: &GroupRequest,
     attempt: &SampleAttempt,
 ) -> Result<Sample, Failure> {
     let span = node.telemetry.hop("sample", SpanKind::Internal, None);
-    let id = sample_id(wanted, attempt.index);
+    let id = sample_id(request, attempt.index);
     span.set("sample", id.to_string());
     let first_unix = node.clock.unix_seconds();
-    let min_version = campaign.staleness_rule().oldest_acceptable(wanted.consume_version);
-    let spec = call_spec(node, campaign, wanted, attempt, span.traceparent.clone());
+    let min_version = campaign.staleness_rule().oldest_acceptable(request.consume_version);
+    let spec = call_spec(node, campaign, request, attempt, span.traceparent.clone());
     let mut sink = SampleSink::new(min_version, attempt);
-    let deadline = node.now() + SAMPLE_DEADLINE;
+    let deadline = node.now() + SAMPLE_TIMEOUT;
     let policy = ResumePolicy { repeatable: true, waits_for_engine: true };
     let attempts = drive(node, &spec, deadline, policy, &mut sink).await?;
     let (text, tokens, versions) = sink.assembler.finish();
-    let score = score(node, campaign, &wanted.spec.prompt, &text).await?;
+    let score = score(node, campaign, &request.spec.prompt, &text).await?;
     Ok(Sample {
         id,
-        prompt: wanted.spec.prompt.clone(),
+        prompt: request.spec.prompt.clone(),
         text,
         tokens,
         versions,
@@ -267,57 +268,59 @@
     })
 }
 
-fn sample_id(wanted: &GroupRequest, index: usize) -> Name {
-    format!("{}/{}/{}/{index}", wanted.campaign, wanted.step, wanted.spec.group).into()
+fn sample_id(request: &GroupRequest, index: usize) -> Name {
+    format!("{}/{}/{}/{index}", request.campaign, request.step, request.spec.group).into()
 }
 
 fn call_spec(
     node: &Node,
     campaign: &Campaign,
-    wanted: &GroupRequest,
+    request: &GroupRequest,
     attempt: &SampleAttempt,
     traceparent: Option<Name>,
 ) -> CallSpec {
-    let step = wanted.step.to_string();
+    let step = request.step.to_string();
     let index = attempt.index.to_string();
     let spec = CallSpec {
         account: campaign.name.clone(),
         weight: campaign.weight,
         model: campaign.model.clone(),
         allowed_zones: campaign.allowed_zones.clone(),
-        prompt: wanted.spec.prompt.clone(),
+        prompt: request.spec.prompt.clone(),
         offset: 0,
         max_tokens: campaign.max_tokens,
-        seed: hash_parts(&[&campaign.name, &step, &wanted.spec.group, &index]),
-        priority: match (attempt.hedge, wanted.is_next) {
+        seed: hash_parts(&[&campaign.name, &step, &request.spec.group, &index]),
+        priority: match (attempt.hedge, request.is_next) {
             (true, _) => HEDGE_PRIORITY,
             (false, true) => NEXT_STEP_PRIORITY,
             (false, false) => SAMPLE_PRIORITY,
         },
-        prefix: hash_parts(&[&wanted.spec.prompt]),
-        min_version: campaign.staleness_rule().oldest_acceptable(wanted.consume_version),
+        prefix: hash_parts(&[&request.spec.prompt]),
+        min_version: campaign.staleness_rule().oldest_acceptable(request.consume_version),
         needs_version: true,
-        deadline_ms: node.left_ms(node.now() + SAMPLE_DEADLINE),
+        deadline_ms: node.left_ms(node.now() + SAMPLE_TIMEOUT),
         traceparent,
         fingerprint: None,
     };
     spec.with_fingerprint()
 }
 
-/// Scores a sample on a scoring service in the campaign's places.
+/// Scores a sample on a scoring service in the campaign's allowed zones.
 async fn score(node: &Arc<Node>, campaign: &Campaign, prompt: &str, text: &str) -> Result<f64, Failure> {
     let backends = node.plain.backends(BackendKind::Scoring, &campaign.scoring, &campaign.allowed_zones);
     let body = [prompt, "\n", text].concat();
     let host = &campaign.scoring;
-    let content = RequestContent { customer: Some(&campaign.name), host, path: "score", body }.fingerprint();
+    let fingerprint = RequestContent { customer: Some(&campaign.name), host, path: "score", body }.fingerprint();
     let mut tried = Vec::new();
-    let mut last = Failure::not_run(Reason::NoBackend, "no scoring service in an allowed place");
-    for _ in 0..SCORE_TRIES {
-        let chosen = node.plain.choose(node.now(), &backends, &tried, |name| node.desks.is_leaving(name));
+    let mut last = Failure::not_run(Reason::NoBackend, "no scoring service in an allowed zone");
+    for _ in 0..MAX_SCORE_ATTEMPTS {
+        let chosen = node.plain.choose(node.now(), &backends, &tried, |name| node.dispatchers.is_draining(name));
         let Some(backend) = chosen else { break };
-        let send = GuardedSend { backend: &backend.name, address: &backend.address, content };
-        let result = content_blocking::guarded(node, send, node.scoring.score(&backend.address, prompt, text)).await;
-        node.plain.ended(node.now(), &backend, result.is_ok());
+        let request = BackendRequest { backend: &backend.name, address: &backend.address, fingerprint };
+        let result =
+            content_blocking::send_unless_blocked(node, request, node.scoring.score(&backend.address, prompt, text))
+                .await;
+        node.plain.record_response(node.now(), &backend, result.is_ok());
         match result {
             Ok(score) => return Ok(score),
             Err(failure) => last = failure,
@@ -335,7 +338,7 @@
 }
 
 impl SampleSink {
-    /// Goes on from the tokens that an earlier attempt shared, and on another owner than its.
+    /// Continues after the tokens that an earlier attempt shared, and avoids the owner of that attempt.
     fn new(min_version: WeightVersion, attempt: &SampleAttempt) -> Self {
         let shared = attempt.progress.lock().unwrap().clone();
         let avoided = shared.as_ref().and_then(|shared| shared.owner().cloned());
@@ -359,17 +362,17 @@
 impl CallSink for SampleSink {
     fn started(&mut self, engine: Name, zone: Name, owner: Name) {
         self.assembler.start_attempt(engine, zone, owner);
-        // Tells a hedge which owner to avoid, also before the first token.
+        // Shares the owner before the first token, so that a hedged attempt avoids it.
         self.share();
     }
 
     async fn chunk(&mut self, chunk: TokenChunk) -> Result<(), Failure> {
         self.assembler.accept(&chunk).map_err(|error| {
-            // The chunk was not taken in, so the call can be resumed from the tokens before it.
+            // The chunk was not added, so the call can resume after the tokens before it.
             Failure::may_have_run(Reason::BackendFailed, error.to_string())
         })?;
         self.chunks += 1;
-        if self.chunks.is_multiple_of(SHARE_EVERY) {
+        if self.chunks.is_multiple_of(CHUNKS_PER_SHARE) {
             self.share();
         }
         Ok(())
@@ -379,7 +382,7 @@
         self.avoided.clone()
     }
 
-    fn held(&self) -> (u32, &str) {
+    fn received(&self) -> (u32, &str) {
         (self.assembler.tokens(), self.assembler.text())
     }
 }
--- a/crates/trestlerackd/src/request/mod.rs
+++ b/crates/trestlerackd/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as a request: routes, calls, steps and operators' requests.
+//! Handling of HTTP requests and of calls to engines and backend servers.
 
 pub mod api_call;
 pub mod call_driver;
--- a/crates/trestlerackd/src/request/operators.rs
+++ b/crates/trestlerackd/src/request/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' requests: plans, confirmations, views and drains.
+//! Handlers of the operators' API: plans, status reports and drains.
 
 use super::api_call::{ApiCall, json_response, serve};
 use crate::process::rollout_loop::progress;
@@ -33,7 +33,7 @@
     .await
 }
 
-/// A node as operators see it from the node that they ask.
+/// Status of a node as the node that serves the request knows it.
 #[derive(Serialize)]
 struct NodeReport {
     name: Name,
@@ -67,7 +67,7 @@
         incarnation: node.incarnation,
         is_self: true,
         generation: Some(node.config.current().generation),
-        // The request that asks is in progress too and is not counted.
+        // The request for this report is in progress too and is not counted.
         in_progress: Some(node.stop.in_progress().saturating_sub(1)),
         groups: Some(node.wanted.len()),
         spooled: Some(node.spool.len()),
@@ -89,14 +89,15 @@
     std::iter::once(own).chain(peers).collect()
 }
 
-/// A backend server as operators see it from the node that they ask.
+/// Status of a backend server as the node that serves the request knows it.
 #[derive(Serialize)]
 struct BackendReport {
     #[serde(flatten)]
     backend: Backend,
     receives_work: bool,
     owner: Option<Name>,
-    held_version: Option<WeightVersion>,
+    #[serde(rename = "held_version")]
+    loaded_version: Option<WeightVersion>,
 }
 
 /// `GET /v1/backends`.
@@ -111,16 +112,16 @@
 fn backend_reports(call: &ApiCall) -> Vec<BackendReport> {
     let node = &call.node;
     let config = node.config.current();
-    let view = node.ownership.read().unwrap().clone();
-    let held = progress(node);
+    let ownership = node.ownership.read().unwrap().clone();
+    let loaded_versions = progress(node);
     let report = |backend: &Backend| {
-        let owner = view.engine_owner(&backend.name, &backend.zone).map(|owner| owner.name.clone());
+        let owner = ownership.engine_owner(&backend.name, &backend.zone).map(|owner| owner.name.clone());
         let owner = owner.filter(|_| backend.kind == BackendKind::Engine);
-        let engines = held.get(&backend.service);
+        let engines = loaded_versions.get(&backend.service);
         BackendReport {
-            receives_work: !node.desks.is_leaving(&backend.name),
+            receives_work: !node.dispatchers.is_draining(&backend.name),
             owner,
-            held_version: engines.and_then(|engines| engines.get(&backend.name).copied().flatten()),
+            loaded_version: engines.and_then(|engines| engines.get(&backend.name).copied().flatten()),
             backend: backend.clone(),
         }
     };
@@ -139,22 +140,23 @@
 
 /// `POST /v1/backends/{backend}/drain`.
 pub async fn drain(state: State) -> HandlerResult {
-    serve(state, "drain", |call| async move { set_leaving(&call, true) }).await
+    serve(state, "drain", |call| async move { set_draining(&call, true) }).await
 }
 
 /// `DELETE /v1/backends/{backend}/drain`.
 pub async fn undrain(state: State) -> HandlerResult {
-    serve(state, "undrain", |call| async move { set_leaving(&call, false) }).await
+    serve(state, "undrain", |call| async move { set_draining(&call, false) }).await
 }
 
-/// Spreads by peers' news alone, so that it works while the table is down.
-fn set_leaving(call: &ApiCall, leaving: bool) -> Result<Response<Body>, Failure> {
+/// Marks a backend server as draining, or clears the mark. The change spreads by gossip only, so
+/// that it works while the table is unavailable.
+fn set_draining(call: &ApiCall, draining: bool) -> Result<Response<Body>, Failure> {
     call.require_operator()?;
     let name: Name = call.segment(2).into();
     let config = call.node.config.current();
     if !config.backends().any(|backend| backend.name == name) {
         return Err(Failure::not_run(Reason::NotFound, format!("no backend server {name}")));
     }
-    call.node.desks.ordered_leaving(call.node.now(), &name, leaving);
-    json_response(&serde_json::json!({ "backend": name, "receives_work": !leaving }))
+    call.node.dispatchers.set_draining(call.node.now(), &name, draining);
+    json_response(&serde_json::json!({ "backend": name, "receives_work": !draining }))
 }
--- a/crates/trestlerackd/src/request/plain.rs
+++ b/crates/trestlerackd/src/request/plain.rs
@@ -1,7 +1,7 @@
-//! Calls to plain services, some of which must not run twice.
+//! Calls to plain services. Some of them must run at most once.
 
 use super::api_call::{ApiCall, serve};
-use super::content_blocking::{self, GuardedSend};
+use super::content_blocking::{self, BackendRequest};
 use crate::connection::http_client::{HttpAnswer, read_whole};
 use crate::node::Node;
 use crate::process::clock;
@@ -25,23 +25,23 @@
 use trestlerack::{Failure, Name, Timestamp, Verdict, event};
 
 /// Header that carries an idempotency key.
-const KEY_HEADER: &str = "idempotency-key";
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// Longest idempotency key.
-const MAX_KEY: usize = 128;
+/// Largest length of an idempotency key in bytes.
+const MAX_KEY_BYTES: usize = 128;
 
-/// Segments of the path before the service's own path: `v1`, `services` and the service.
-const OWN_SEGMENTS: usize = 3;
+/// Number of path segments before the path of the service: `v1`, `services` and the service name.
+const PREFIX_SEGMENTS: usize = 3;
 
-/// Largest answer that is recorded for repeated calls, in bytes.
-const MAX_RECORDED: usize = 64 * 1024;
+/// Largest response body that is recorded for repeated calls, in bytes.
+const MAX_RECORDED_BYTES: usize = 64 * 1024;
 
-/// `/v1/services/{service}/{path}`.
+/// Handles `/v1/services/{service}/{path}`.
 pub async fn call(state: State) -> HandlerResult {
     serve(state, "services", run).await
 }
 
-/// A plain call on its way to a backend server.
+/// Call of a user to a plain service.
 struct PlainCall {
     user: Name,
     service: Name,
@@ -56,7 +56,7 @@
 }
 
 impl PlainCall {
-    fn content(&self) -> RequestFingerprint {
+    fn fingerprint(&self) -> RequestFingerprint {
         let path = [self.method.as_str(), " ", &self.target].concat();
         RequestContent { customer: Some(&self.user), host: &self.service, path: &path, body: &self.body }.fingerprint()
     }
@@ -66,45 +66,49 @@
     let user = call.require_user()?;
     let service: Name = call.segment(2).into();
     let config = call.node.config.current();
-    let places = config.user(&user).map(|user| user.allowed_zones.clone()).unwrap_or_default();
-    let backends = call.node.plain.backends(BackendKind::Plain, &service, &places);
+    let allowed_zones = config.user(&user).map(|user| user.allowed_zones.clone()).unwrap_or_default();
+    let backends = call.node.plain.backends(BackendKind::Plain, &service, &allowed_zones);
     if backends.is_empty() {
-        let detail = format!("no plain service {service} in the user's places");
+        let detail = format!("no plain service {service} in the user's zones");
         return Err(Failure::not_run(Reason::NotFound, detail));
     }
     let plain = plain_call(&call, user, service, &backends)?;
-    let answer = if plain.repeatable {
+    let response = if plain.repeatable {
         send(&call.node, &plain, &backends).await
     } else {
         send_detached(&call, plain, backends).await
     };
-    answer.map(plain_response)
+    response.map(plain_response)
 }
 
-/// Sends a call that must not be repeated in a task of its own, which goes on when the caller goes
-/// away: the caller's next try then meets the recorded answer and not a claim that was never ended.
+/// Sends a call that must not be repeated in a separate task, which continues when the caller
+/// disconnects. A retry of the caller then finds the recorded response and not an unfinished record.
 async fn send_detached(call: &ApiCall, plain: PlainCall, backends: Vec<Backend>) -> Result<HttpAnswer, Failure> {
     let node = call.node.clone();
     let work = WorkGuard::new(&node);
-    let is_claimed = plain.key.is_some() && !backends[0].honours_keys;
+    let needs_record = plain.key.is_some() && !backends[0].honours_keys;
     let task = tokio::spawn(async move {
         let _work = work;
-        if is_claimed { send_claimed(&node, &plain, &backends).await } else { send(&node, &plain, &backends).await }
+        if needs_record {
+            send_idempotent(&node, &plain, &backends).await
+        } else {
+            send(&node, &plain, &backends).await
+        }
     });
-    let lost = |_| Err(Failure::may_have_run(Reason::BackendFailed, "the call ended without an answer"));
-    task.await.unwrap_or_else(lost)
+    let task_failed = |_| Err(Failure::may_have_run(Reason::BackendFailed, "the call ended without a response"));
+    task.await.unwrap_or_else(task_failed)
 }
 
 fn plain_call(call: &ApiCall, user: Name, service: Name, backends: &[Backend]) -> Result<PlainCall, Failure> {
-    let key = call.header(KEY_HEADER).map(str::to_owned);
-    let is_fine = |key: &String| {
-        !key.is_empty() && key.len() <= MAX_KEY && key.bytes().all(|byte| byte.is_ascii_graphic() && byte != b'/')
+    let key = call.header(IDEMPOTENCY_KEY_HEADER).map(str::to_owned);
+    let is_valid = |key: &String| {
+        !key.is_empty() && key.len() <= MAX_KEY_BYTES && key.bytes().all(|byte| byte.is_ascii_graphic() && byte != b'/')
     };
-    if key.as_ref().is_some_and(|key| !is_fine(key)) {
-        let detail = format!("{KEY_HEADER}: expected 1 to {MAX_KEY} visible characters without /");
+    if key.as_ref().is_some_and(|key| !is_valid(key)) {
+        let detail = format!("{IDEMPOTENCY_KEY_HEADER}: expected 1 to {MAX_KEY_BYTES} visible characters without /");
         return Err(Failure::not_run(Reason::BadRequest, detail));
     }
-    let path: Vec<&str> = call.uri.path().split('/').skip(1 + OWN_SEGMENTS).collect();
+    let path: Vec<&str> = call.uri.path().split('/').skip(1 + PREFIX_SEGMENTS).collect();
     let query = call.uri.query().map(|query| format!("?{query}")).unwrap_or_default();
     let is_safe = matches!(call.method, Method::GET | Method::HEAD);
     Ok(PlainCall {
@@ -117,28 +121,29 @@
         body: call.body.clone(),
         key,
         traceparent: call.span.traceparent.clone(),
-        deadline: call.node.now() + call.time_allowed()?,
+        deadline: call.node.now() + call.timeout()?,
     })
 }
 
-/// Sends a call that needs no claim: repeatable, without a key, or with a key that the service
-/// itself honours.
+/// Sends a call without an idempotency record. The call is repeatable, has no key, or has a key that
+/// the service itself honours.
 async fn send(node: &Arc<Node>, call: &PlainCall, backends: &[Backend]) -> Result<HttpAnswer, Failure> {
     node.budget.lock().unwrap().earn(&call.user, &call.service);
     let policy = ResumePolicy { repeatable: call.repeatable, waits_for_engine: false };
     let mut tried = Vec::new();
     loop {
-        let chosen = node.plain.choose(node.now(), backends, &tried, |name| node.desks.is_leaving(name));
+        let chosen = node.plain.choose(node.now(), backends, &tried, |name| node.dispatchers.is_draining(name));
         let Some(backend) = chosen else {
-            let failure = Failure::not_run(Reason::NoBackend, "no backend server of the service takes requests");
+            let failure = Failure::not_run(Reason::NoBackend, "no backend server of the service accepts requests");
             return Err(failure.retry_after(Duration::from_secs(1)));
         };
-        let send = GuardedSend { backend: &backend.name, address: &backend.address, content: call.content() };
-        let result = content_blocking::guarded(node, send, send_once(node, call, &backend)).await;
-        let is_good = result.as_ref().is_ok_and(|answer| !answer.status.is_server_error());
-        node.plain.ended(node.now(), &backend, is_good);
+        let request =
+            BackendRequest { backend: &backend.name, address: &backend.address, fingerprint: call.fingerprint() };
+        let result = content_blocking::send_unless_blocked(node, request, send_attempt(node, call, &backend)).await;
+        let succeeded = result.as_ref().is_ok_and(|response| !response.status.is_server_error());
+        node.plain.record_response(node.now(), &backend, succeeded);
         let failure = match result {
-            Ok(answer) => return Ok(answer),
+            Ok(response) => return Ok(response),
             Err(failure) => failure,
         };
         logs::write(event::PLAIN_BROKEN, &[("backend", &backend.name), ("failure", &failure)]);
@@ -153,10 +158,10 @@
     }
 }
 
-async fn send_once(node: &Arc<Node>, call: &PlainCall, backend: &Backend) -> Result<HttpAnswer, Failure> {
+async fn send_attempt(node: &Arc<Node>, call: &PlainCall, backend: &Backend) -> Result<HttpAnswer, Failure> {
     let request = build_request(call, backend)?;
-    let left = call.deadline.since(node.now());
-    if left.is_zero() {
+    let remaining = call.deadline.since(node.now());
+    if remaining.is_zero() {
         return Err(Failure::not_run(Reason::DeadlineExceeded, "the deadline passed"));
     }
     let exchange = async {
@@ -165,12 +170,12 @@
         } else {
             node.http.send_once(&backend.address, request).await?
         };
-        let is_leaving = super::engine_client::says_leaving(response.headers());
-        node.desks.engine_answered(node.now(), &backend.name, is_leaving);
+        let is_draining = super::engine_client::reports_draining(response.headers());
+        node.dispatchers.record_draining(node.now(), &backend.name, is_draining);
         read_whole(response).await
     };
-    let answer = clock::timeout(left, exchange).await;
-    answer
+    let response = clock::timeout(remaining, exchange).await;
+    response
         .unwrap_or_else(|_| Err(Failure::may_have_run(Reason::DeadlineExceeded, "the service did not answer in time")))
 }
 
@@ -181,34 +186,34 @@
         .header(header::HOST, backend.address.as_ref())
         .header(header::CONTENT_TYPE, &call.content_type);
     if let Some(key) = &call.key {
-        request = request.header(KEY_HEADER, key);
+        request = request.header(IDEMPOTENCY_KEY_HEADER, key);
     }
     if let Some(traceparent) = &call.traceparent {
         request = request.header("traceparent", traceparent.as_ref());
     }
     request
         .body(Full::new(call.body.clone()))
-        .map_err(|_| Failure::not_run(Reason::BadRequest, "the path cannot be passed on"))
+        .map_err(|_| Failure::not_run(Reason::BadRequest, "the path cannot be forwarded"))
 }
 
-/// Claims a keyed call in the table before it is sent, so that a retry through another node meets
-/// the claim.
-async fn send_claimed(node: &Arc<Node>, call: &PlainCall, backends: &[Backend]) -> Result<HttpAnswer, Failure> {
+/// Writes an idempotency record to the table before the call is sent, so that a retry through another
+/// node finds it.
+async fn send_idempotent(node: &Arc<Node>, call: &PlainCall, backends: &[Backend]) -> Result<HttpAnswer, Failure> {
     let key = idempotency_row_key(&call.user, &call.service, call.key.as_deref().unwrap_or(""));
     let digest: Name =
         digest_hex(&[call.method.as_str().as_bytes(), b" ", call.target.as_bytes(), b"\n", &call.body].concat()).into();
     let attempt = node.operation_id();
-    let claims = IdempotencyStore::new(node.table.as_ref());
-    match claims.begin(&key, &digest, &attempt).await {
+    let records = IdempotencyStore::new(node.table.as_ref());
+    match records.begin(&key, &digest, &attempt).await {
         IdempotencyDecision::Send => {}
-        other => return answer_without_sending(other),
+        decision => return response_without_sending(decision),
     }
     let result = send(node, call, backends).await;
-    claims.finish(&key, &attempt, end_of_claim(&result)).await;
+    records.finish(&key, &attempt, final_state(&result)).await;
     result
 }
 
-fn answer_without_sending(decision: IdempotencyDecision) -> Result<HttpAnswer, Failure> {
+fn response_without_sending(decision: IdempotencyDecision) -> Result<HttpAnswer, Failure> {
     match decision {
         IdempotencyDecision::Replay { status, content_type, body } => Ok(HttpAnswer {
             status: StatusCode::from_u16(status).unwrap_or(StatusCode::OK),
@@ -216,30 +221,30 @@
             body: Bytes::from(body),
         }),
         IdempotencyDecision::Refuse(failure) => Err(failure),
-        // The claim store turns these into the others before it answers.
+        // Not reached: `IdempotencyStore::begin` never returns `Claim`, and `Send` is handled by the caller.
         IdempotencyDecision::Claim | IdempotencyDecision::Send => {
-            Err(Failure::not_run(Reason::StoreUnavailable, "the call could not be claimed"))
+            Err(Failure::not_run(Reason::StoreUnavailable, "the idempotency record was not written"))
         }
     }
 }
 
-fn end_of_claim(result: &Result<HttpAnswer, Failure>) -> IdempotencyState {
+fn final_state(result: &Result<HttpAnswer, Failure>) -> IdempotencyState {
     match result {
-        Ok(answer) if answer.body.len() <= MAX_RECORDED => IdempotencyState::Answered {
-            status: answer.status.as_u16(),
-            content_type: answer.content_type.clone(),
-            body: String::from_utf8_lossy(&answer.body).into_owned(),
+        Ok(response) if response.body.len() <= MAX_RECORDED_BYTES => IdempotencyState::Answered {
+            status: response.status.as_u16(),
+            content_type: response.content_type.clone(),
+            body: String::from_utf8_lossy(&response.body).into_owned(),
         },
         Ok(_) => IdempotencyState::Uncertain,
         Err(failure) => IdempotencyState::after_failure(failure.verdict),
     }
 }
 
-fn plain_response(answer: HttpAnswer) -> Response<Body> {
-    let body = Full::new(answer.body).map_err(|never| match never {}).boxed_unsync();
+fn plain_response(backend_response: HttpAnswer) -> Response<Body> {
+    let body = Full::new(backend_response.body).map_err(|never| match never {}).boxed_unsync();
     let mut response = Response::new(body);
-    *response.status_mut() = answer.status;
-    if let Ok(value) = header::HeaderValue::from_str(&answer.content_type) {
+    *response.status_mut() = backend_response.status;
+    if let Ok(value) = header::HeaderValue::from_str(&backend_response.content_type) {
         response.headers_mut().insert(header::CONTENT_TYPE, value);
     }
     let verdict = header::HeaderValue::from_static(Verdict::Ran.as_str());
--- a/crates/trestlerackd/src/request/plain_pool.rs
+++ b/crates/trestlerackd/src/request/plain_pool.rs
@@ -1,4 +1,4 @@
-//! Chooses among the backend servers of a plain or scoring service.
+//! Choice among the backend servers of a plain or scoring service.
 
 use super::shards::Sharded;
 use rand::SeedableRng;
@@ -10,8 +10,8 @@
 use trestlerack::version::{Backend, BackendKind, Configuration};
 use trestlerack::{AllowedZones, Name, Timestamp};
 
-/// Requests that a backend server of a service counts as able to hold for balancing.
-const BALANCE_SLOTS: u32 = 64;
+/// Slots assumed for each backend server when requests are balanced.
+const SLOTS_PER_SERVER: u32 = 64;
 
 struct ServiceState {
     outliers: OutlierDetector,
@@ -30,7 +30,7 @@
     }
 }
 
-/// Backend servers by service, with what this node has seen of them.
+/// Backend servers by service, with the requests and failures that this node has observed.
 #[derive(Default)]
 pub struct PlainPool {
     backends: RwLock<Arc<BTreeMap<Name, Vec<Backend>>>>,
@@ -38,7 +38,7 @@
 }
 
 impl PlainPool {
-    /// Takes over the backend servers of a new generation.
+    /// Replaces the backend servers by those of a new configuration generation.
     pub fn set_backends(&self, config: &Configuration) {
         let mut services: BTreeMap<Name, Vec<Backend>> = BTreeMap::new();
         for backend in config.backends().filter(|backend| backend.kind != BackendKind::Engine) {
@@ -48,32 +48,32 @@
     }
 
     /// Returns the backend servers of a service in the allowed zones.
-    pub fn backends(&self, kind: BackendKind, service: &str, places: &AllowedZones) -> Vec<Backend> {
+    pub fn backends(&self, kind: BackendKind, service: &str, allowed_zones: &AllowedZones) -> Vec<Backend> {
         let services = self.backends.read().unwrap().clone();
         let Some(backends) = services.get(service) else { return Vec::new() };
-        let allowed = |backend: &&Backend| backend.kind == kind && places.allows(&backend.zone);
+        let allowed = |backend: &&Backend| backend.kind == kind && allowed_zones.allows(&backend.zone);
         backends.iter().filter(allowed).cloned().collect()
     }
 
     /// Chooses a backend server that is not among `tried` and counts a request on it.
     ///
-    /// `is_leaving` adds what the list, peers and answers say about leaving.
+    /// `is_draining` adds drains reported by the membership list, by peers and by responses.
     pub fn choose(
         &self,
         now: Timestamp,
         backends: &[Backend],
         tried: &[Name],
-        is_leaving: impl Fn(&str) -> bool,
+        is_draining: impl Fn(&str) -> bool,
     ) -> Option<Backend> {
         let service = &backends.first()?.service;
         let mut shard = self.states.lock(service);
         let state = shard.entry(service.clone()).or_default();
         let mut candidates = Vec::new();
         for backend in backends {
-            let left = backend.is_draining || is_leaving(&backend.name);
-            let limit = state.outliers.limit(now, &backend.name, BALANCE_SLOTS);
+            let is_excluded = backend.is_draining || is_draining(&backend.name);
+            let limit = state.outliers.limit(now, &backend.name, SLOTS_PER_SERVER);
             let in_flight = state.in_flight.get(&backend.name).copied().unwrap_or(0);
-            if !left && limit > 0 && !tried.contains(&backend.name) {
+            if !is_excluded && limit > 0 && !tried.contains(&backend.name) {
                 candidates.push(EngineCandidate {
                     name: &backend.name,
                     in_flight,
@@ -89,14 +89,14 @@
         Some(chosen)
     }
 
-    /// Records the end of a request.
-    pub fn ended(&self, now: Timestamp, backend: &Backend, good: bool) {
+    /// Records the end of a request and whether it succeeded.
+    pub fn record_response(&self, now: Timestamp, backend: &Backend, succeeded: bool) {
         let count = self.backends.read().unwrap().get(&backend.service).map_or(0, Vec::len);
         let mut shard = self.states.lock(&backend.service);
         let state = shard.entry(backend.service.clone()).or_default();
         if let Some(in_flight) = state.in_flight.get_mut(&backend.name) {
             *in_flight = in_flight.saturating_sub(1);
         }
-        state.outliers.record_response(now, &backend.name, good, count);
+        state.outliers.record_response(now, &backend.name, succeeded, count);
     }
 }
--- a/crates/trestlerackd/src/request/routes.rs
+++ b/crates/trestlerackd/src/request/routes.rs
@@ -1,6 +1,6 @@
-//! The routes of callers, operators and probes.
+//! Routes of the HTTP API for callers, operators and health checks.
 
-use super::api_call::{bytes_response, refuse};
+use super::api_call::{bytes_response, error_response};
 use super::{completions, operators, plain, steps};
 use crate::connection::accept::NodeHandle;
 use gotham::handler::HandlerResult;
@@ -14,10 +14,10 @@
 use trestlerack::Failure;
 use trestlerack::verdict::Reason;
 
-/// Path parameters; handlers read the path itself, gotham needs their names to match it.
+/// Path parameters. Gotham needs their names to match a path; the handlers parse the path themselves.
 #[derive(Deserialize, StateData, StaticResponseExtender)]
 #[allow(dead_code, reason = "gotham fills the fields while it matches a path")]
-struct PathNames {
+struct PathParams {
     campaign: Option<String>,
     step: Option<u64>,
     group: Option<String>,
@@ -41,29 +41,29 @@
         route.get("/v1/nodes").to_async(operators::nodes);
         route.get("/v1/backends").to_async(operators::backends);
         route.get("/v1/campaigns").to_async(operators::campaigns);
-        route.post("/v1/backends/:backend/drain").with_path_extractor::<PathNames>().to_async(operators::drain);
-        route.delete("/v1/backends/:backend/drain").with_path_extractor::<PathNames>().to_async(operators::undrain);
-        route.post("/v1/models/:model/weights").with_path_extractor::<PathNames>().to_async(steps::publish);
-        route.get("/v1/campaigns/:campaign/steps").with_path_extractor::<PathNames>().to_async(steps::list);
-        route.put("/v1/campaigns/:campaign/steps/:step").with_path_extractor::<PathNames>().to_async(steps::submit);
+        route.post("/v1/backends/:backend/drain").with_path_extractor::<PathParams>().to_async(operators::drain);
+        route.delete("/v1/backends/:backend/drain").with_path_extractor::<PathParams>().to_async(operators::undrain);
+        route.post("/v1/models/:model/weights").with_path_extractor::<PathParams>().to_async(steps::publish);
+        route.get("/v1/campaigns/:campaign/steps").with_path_extractor::<PathParams>().to_async(steps::list);
+        route.put("/v1/campaigns/:campaign/steps/:step").with_path_extractor::<PathParams>().to_async(steps::submit);
         route
             .get("/v1/campaigns/:campaign/steps/:step/samples")
-            .with_path_extractor::<PathNames>()
+            .with_path_extractor::<PathParams>()
             .to_async(steps::take);
         route
             .post("/v1/campaigns/:campaign/steps/:step/ack")
-            .with_path_extractor::<PathNames>()
+            .with_path_extractor::<PathParams>()
             .to_async(steps::acknowledge);
         route
             .get("/v1/campaigns/:campaign/steps/:step/groups/:group/:index")
-            .with_path_extractor::<PathNames>()
+            .with_path_extractor::<PathParams>()
             .to_async(steps::trace);
         let methods = vec![Method::GET, Method::POST, Method::PUT, Method::PATCH, Method::DELETE];
-        route.request(methods, "/v1/services/:service/*").with_path_extractor::<PathNames>().to_async(plain::call);
+        route.request(methods, "/v1/services/:service/*").with_path_extractor::<PathParams>().to_async(plain::call);
     })
 }
 
-/// Builds the answer to a request whose handler panicked.
+/// Builds the response to a request whose handler panicked.
 pub fn internal_error() -> Response<Body> {
     bytes_response(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", "internal error\n")
 }
@@ -72,7 +72,7 @@
     Ok((state, bytes_response(StatusCode::OK, "text/plain", "live\n")))
 }
 
-/// A node is ready once it has a configuration and until its planned stop.
+/// Reports readiness: a node is ready from its first configuration until its planned stop.
 async fn ready(state: State) -> HandlerResult {
     let node = NodeHandle::borrow_from(&state).0.clone();
     let failure = if node.stop.is_stopping() {
@@ -84,7 +84,7 @@
     };
     let response = match failure {
         Some(failure) => {
-            let mut response = refuse(&node, "readyz", &failure);
+            let mut response = error_response(&node, "readyz", &failure);
             *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
             response
         }
--- a/crates/trestlerackd/src/request/shards.rs
+++ b/crates/trestlerackd/src/request/shards.rs
@@ -1,4 +1,4 @@
-//! State in shards, each under its own lock.
+//! Sharded tables with one lock per shard.
 
 use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
@@ -6,10 +6,10 @@
 use trestlerack::process::UserLimiter;
 use trestlerack::{Name, Timestamp};
 
-/// Shards of one table; more than the cores of a small VM.
+/// Number of shards of a table; more than the cores of a small VM.
 const SHARDS: usize = 16;
 
-/// A table in shards, chosen by the hash of a name.
+/// Table in shards that are selected by the hash of a name.
 pub struct Sharded<T> {
     shards: Vec<Mutex<T>>,
 }
@@ -27,20 +27,20 @@
         self.shards[index].lock().unwrap()
     }
 
-    /// Locks one shard after the other.
+    /// Iterates over the shards. Each is locked when the iterator reaches it.
     pub fn each(&self) -> impl Iterator<Item = MutexGuard<'_, T>> {
         self.shards.iter().map(|shard| shard.lock().unwrap())
     }
 }
 
-/// Rate limits of users, in shards.
+/// Sharded rate limiters of users.
 #[derive(Default)]
 pub struct UserLimits {
     limiters: Sharded<UserLimiter>,
 }
 
 impl UserLimits {
-    /// Admits a call of `user`, or returns how long to wait.
+    /// Admits a call of `user`, or returns the time to wait as an error.
     pub fn admit(&self, now: Timestamp, user: &Name, limit: u32, nodes: usize) -> Result<(), Duration> {
         self.limiters.lock(user).admit(now, user, limit, nodes)
     }
--- a/crates/trestlerackd/src/request/steps.rs
+++ b/crates/trestlerackd/src/request/steps.rs
@@ -1,4 +1,4 @@
-//! Trainers' requests: submit a step, take its samples, acknowledge it, publish weights.
+//! Handlers of the trainers' API: submit a step, fetch its samples, acknowledge it, publish weights.
 
 use super::api_call::{ApiCall, Principal, bytes_response, json_response, serve};
 use crate::node::Node;
@@ -17,17 +17,17 @@
 use trestlerack::version::{Campaign, SampleAge, WeightVersion};
 use trestlerack::{Failure, Name, event};
 
-/// Wait named to a trainer whose step is not sealed yet.
-const NOT_SEALED_RETRY: Duration = Duration::from_millis(100);
+/// Retry-after time of a step that is not sealed yet.
+const NOT_SEALED_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// Wait named while the store is down.
-const STORE_RETRY: Duration = Duration::from_secs(2);
+/// Retry-after time while the store is unavailable.
+const STORE_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Steps listed at most.
-const LIST_LIMIT: usize = 1_000;
+/// Largest number of steps in a list.
+const MAX_LISTED_STEPS: usize = 1_000;
 
-/// Tries at a write that others' writes get in the way of.
-const WRITE_TRIES: usize = 8;
+/// Largest number of attempts at a write that conflicts with other writes.
+const MAX_WRITE_ATTEMPTS: usize = 8;
 
 /// `PUT /v1/campaigns/{campaign}/steps/{step}`.
 pub async fn submit(state: State) -> HandlerResult {
@@ -59,9 +59,9 @@
     serve(state, "publish-weights", publish_weights).await
 }
 
-/// The answer to a submission.
+/// Response to a submitted step.
 #[derive(Serialize)]
-struct Accepted {
+struct SubmissionResponse {
     campaign: Name,
     step: u64,
     groups: usize,
@@ -81,27 +81,27 @@
     }
 }
 
-fn store_down(error: StoreError) -> Failure {
+fn store_failure(error: StoreError) -> Failure {
     let failure = match error {
         StoreError::Unavailable | StoreError::RateLimited => {
             Failure::not_run(Reason::StoreUnavailable, error.to_string())
         }
         StoreError::Unknown => Failure::may_have_run(Reason::StoreUnavailable, error.to_string()),
     };
-    failure.retry_after(STORE_RETRY)
+    failure.retry_after(STORE_RETRY_AFTER)
 }
 
 async fn submit_step(call: ApiCall) -> Result<Response<Body>, Failure> {
     let campaign = campaign_of(&call)?;
     let step = call.number(4)?;
     let submission: StepSubmission = call.json()?;
-    if let Some(fault) = submission.validation_error() {
-        return Err(Failure::not_run(Reason::BadRequest, fault));
+    if let Some(error) = submission.validation_error() {
+        return Err(Failure::not_run(Reason::BadRequest, error));
     }
     let operation = call.node.operation_id();
-    let opened = call.node.step_store().open(&campaign.name, step, &submission, operation).await;
+    let outcome = call.node.step_store().open(&campaign.name, step, &submission, operation).await;
     let groups = submission.groups.len();
-    let state = match opened.map_err(store_down)? {
+    let state = match outcome.map_err(store_failure)? {
         OpenOutcome::Created => {
             let fields: [(&str, &dyn std::fmt::Display); 3] =
                 [("campaign", &campaign.name), ("step", &step), ("groups", &groups)];
@@ -115,7 +115,7 @@
         }
     };
     step_loop::nudge_owner(&call.node, &campaign).await;
-    json_response(&Accepted { campaign: campaign.name, step, groups, state })
+    json_response(&SubmissionResponse { campaign: campaign.name, step, groups, state })
 }
 
 async fn take_step(call: ApiCall) -> Result<Response<Body>, Failure> {
@@ -124,28 +124,28 @@
     let row = require_step(&call.node, &campaign.name, step).await?;
     if row.state == StepState::Open {
         let failure = Failure::not_run(Reason::NotReady, "the step is not sealed yet");
-        return Err(failure.retry_after(NOT_SEALED_RETRY));
+        return Err(failure.retry_after(NOT_SEALED_RETRY_AFTER));
     }
-    check_delivery(&call, &campaign, &row)?;
+    check_staleness(&call, &campaign, &row)?;
     let mut lines = Vec::new();
     for group in &row.sealed {
-        let content = call.node.objects.get(&group.object).await.map_err(store_down)?;
-        // A short step is never passed off as a whole one.
-        lines.extend(content.ok_or_else(|| store_down(StoreError::Unavailable))?);
+        let content = call.node.objects.get(&group.object).await.map_err(store_failure)?;
+        // A missing object fails the request, so that an incomplete step is never returned as complete.
+        lines.extend(content.ok_or_else(|| store_failure(StoreError::Unavailable))?);
     }
     Ok(bytes_response(StatusCode::OK, "application/jsonl", lines))
 }
 
 async fn require_step(node: &Node, campaign: &str, step: u64) -> Result<StepRow, Failure> {
-    let found = node.step_store().read(campaign, step).await.map_err(store_down)?;
+    let found = node.step_store().read(campaign, step).await.map_err(store_failure)?;
     let found = found.map(|(_, row)| row);
     found.ok_or_else(|| Failure::not_run(Reason::NotFound, format!("no step {step} of {campaign}")))
 }
 
-/// Checks the age of a sealed step's samples once more, at the version that the trainer has now.
-fn check_delivery(call: &ApiCall, campaign: &Campaign, row: &StepRow) -> Result<(), Failure> {
-    let stated = call.query("trainer_version").map(str::parse::<WeightVersion>);
-    let consume_version = match stated {
+/// Checks the staleness of a sealed step's samples again, at the trainer's current version.
+fn check_staleness(call: &ApiCall, campaign: &Campaign, row: &StepRow) -> Result<(), Failure> {
+    let requested_version = call.query("trainer_version").map(str::parse::<WeightVersion>);
+    let consume_version = match requested_version {
         None => row.consume_version,
         Some(Ok(version)) => version.max(row.consume_version),
         Some(Err(_)) => return Err(Failure::not_run(Reason::BadRequest, "trainer_version: expected a number")),
@@ -163,7 +163,7 @@
         None => Ok(()),
         Some(group) => {
             let detail =
-                format!("group {} is past the campaign's staleness bound at version {consume_version}", group.group);
+                format!("group {} exceeds the campaign's staleness bound at version {consume_version}", group.group);
             Err(Failure::not_run(Reason::TooStale, detail))
         }
     }
@@ -173,7 +173,7 @@
     let campaign = campaign_of(&call)?;
     let step = call.number(4)?;
     let operation = call.node.operation_id();
-    let row = call.node.step_store().acknowledge(&campaign.name, step, operation).await.map_err(store_down)?;
+    let row = call.node.step_store().acknowledge(&campaign.name, step, operation).await.map_err(store_failure)?;
     let row = row.ok_or_else(|| Failure::not_run(Reason::NotFound, format!("no step {step} of {}", campaign.name)))?;
     if row.state == StepState::Open {
         return Err(Failure::not_run(Reason::Conflict, "the step is not sealed yet"));
@@ -185,7 +185,7 @@
 async fn list_steps(call: ApiCall) -> Result<Response<Body>, Failure> {
     let campaign = campaign_of(&call)?;
     let prefix = format!("step/{}/", campaign.name);
-    let rows = call.node.table.scan(&prefix, "", LIST_LIMIT).await.map_err(store_down)?;
+    let rows = call.node.table.scan(&prefix, "", MAX_LISTED_STEPS).await.map_err(store_failure)?;
     let steps: Vec<StepRow> = rows.into_iter().filter_map(|row| serde_json::from_value(row.value).ok()).collect();
     json_response(&steps)
 }
@@ -197,7 +197,7 @@
     let row = require_step(&call.node, &campaign.name, step).await?;
     let missing = || Failure::not_run(Reason::NotFound, "the sample is in no sealed step");
     let sealed = row.sealed.iter().find(|sealed| sealed.group.as_ref() == group).ok_or_else(missing)?;
-    let content = call.node.objects.get(&sealed.object).await.map_err(store_down)?.ok_or_else(missing)?;
+    let content = call.node.objects.get(&sealed.object).await.map_err(store_failure)?.ok_or_else(missing)?;
     let text = String::from_utf8_lossy(&content);
     let line = text.lines().nth(usize::try_from(index).unwrap_or(usize::MAX)).ok_or_else(missing)?;
     let sample: Sample = serde_json::from_str(line).map_err(|_| missing())?;
@@ -205,15 +205,15 @@
 }
 
 #[derive(Deserialize)]
-struct Published {
+struct PublishRequest {
     version: WeightVersion,
 }
 
-/// Records that a trainer put new weights into the weight store. The version only grows.
+/// Records that a trainer has put new weights into the weight store. The version never decreases.
 async fn publish_weights(call: ApiCall) -> Result<Response<Body>, Failure> {
     let model: Name = call.segment(2).into();
     let principal = call.principal()?;
-    let published: Published = call.json()?;
+    let request: PublishRequest = call.json()?;
     let config = call.node.config.current();
     let mut campaigns = config.campaigns().filter(|campaign| campaign.model == model);
     let is_allowed = match &principal {
@@ -224,25 +224,25 @@
         return Err(Failure::not_run(Reason::Forbidden, "no campaign of the user trains this model"));
     }
     let key = weights_key(&model);
-    for _ in 0..WRITE_TRIES {
-        let held = call.node.table.read(&key).await.map_err(store_down)?;
-        let newest = held.as_ref().and_then(|row| row.value.get("version")?.as_u64());
-        if newest.is_some_and(|newest| newest > published.version) {
+    for _ in 0..MAX_WRITE_ATTEMPTS {
+        let current = call.node.table.read(&key).await.map_err(store_failure)?;
+        let newest = current.as_ref().and_then(|row| row.value.get("version")?.as_u64());
+        if newest.is_some_and(|newest| newest > request.version) {
             return Err(Failure::not_run(Reason::Conflict, "a newer version was published before"));
         }
-        if newest == Some(published.version) {
-            return json_response(&serde_json::json!({ "model": model, "version": published.version }));
+        if newest == Some(request.version) {
+            return json_response(&serde_json::json!({ "model": model, "version": request.version }));
         }
         let transaction = TableTransaction::default()
-            .expect(&key, TableTransaction::expectation_of(held.as_ref()))
-            .put(&key, serde_json::json!({ "version": published.version }));
-        // Conflicts and lost answers are settled by reading back in the next round.
+            .expect(&key, TableTransaction::expectation_of(current.as_ref()))
+            .put(&key, serde_json::json!({ "version": request.version }));
+        // After a conflict or a lost response the next iteration reads the row again.
         if let Err(error @ (StoreError::Unavailable | StoreError::RateLimited)) =
             call.node.table.commit(transaction).await
         {
-            return Err(store_down(error));
+            return Err(store_failure(error));
         }
         rollout_loop::nudge_candidates(&call.node, &model).await;
     }
-    Err(store_down(StoreError::Unknown))
+    Err(store_failure(StoreError::Unknown))
 }
--- a/crates/trestlerackd/src/version/config_loop.rs
+++ b/crates/trestlerackd/src/version/config_loop.rs
@@ -125,7 +125,7 @@
 }
 
 fn set_backend(node: &Node, name: &Name, backend: Option<&Backend>) {
-    node.desks.set_declared(name, backend.is_some_and(|backend| backend.is_draining));
+    node.dispatchers.set_declared_draining(name, backend.is_some_and(|backend| backend.is_draining));
     let mut owners = node.owners.write().unwrap();
     match backend.filter(|backend| backend.kind == BackendKind::Engine) {
         Some(engine) => owners.set_engine(&engine.name, &engine.service, &engine.zone, engine.slots),
