--- a/crates/trestlerackd/src/entry/job_accept.rs
+++ b/crates/trestlerackd/src/entry/job_accept.rs
@@ -4,7 +4,7 @@
 use super::job_calls::{SETTLE_PAUSE, SETTLE_TIME, spec_object};
 use super::node::EntryNode;
 use super::tables;
-use super::{adoption, job_driver};
+use super::{job_driver, job_takeover};
 use crate::process::logs;
 use bytes::Bytes;
 use http::{Response, StatusCode};
@@ -152,7 +152,7 @@
     if head.owner == node.settings.name {
         job_driver::start(node, spec.clone(), head, version);
     } else {
-        tokio::spawn(adoption::ensure_driven(node.clone(), spec.id.clone(), head));
+        tokio::spawn(job_takeover::ensure_driven(node.clone(), spec.id.clone(), head));
     }
 }
 
--- a/crates/trestlerackd/src/entry/mod.rs
+++ b/crates/trestlerackd/src/entry/mod.rs
@@ -4,7 +4,6 @@
 //! relays store calls for peers, and may hold the lease on weight orders. What has to last is in
 //! the platform's store; see [docs/PLATFORM.md](../../../../docs/PLATFORM.md).
 
-mod adoption;
 mod attempt;
 mod attempts;
 mod callers;
@@ -25,6 +24,7 @@
 mod job_records;
 mod job_runs;
 mod job_scores;
+mod job_takeover;
 mod job_texts;
 mod lease_book;
 mod levels;
@@ -99,7 +99,7 @@
     tokio::spawn(note_suspensions(node.clone()));
     tokio::spawn(keep_registered(node.clone()));
     tokio::spawn(probe_store(node.clone()));
-    tokio::spawn(adoption::watch_owners(node.clone()));
+    tokio::spawn(job_takeover::watch_owners(node.clone()));
     tokio::spawn(order_lease::run(node.clone()));
     duties::start(&node);
     tokio::spawn(expire_connections(node.clone()));
--- a/crates/trestlerackd/src/entry/peers.rs
+++ b/crates/trestlerackd/src/entry/peers.rs
@@ -1,8 +1,8 @@
 //! What nodes ask each other: to relay a store call, and whether a job is driven.
 
-use super::adoption;
 use super::feed_relay::{self, FeedCall, FeedReply};
 use super::held::HeldDecision;
+use super::job_takeover;
 use super::news;
 use super::node::EntryNode;
 use super::pool::ConnectionPool;
@@ -360,7 +360,7 @@
         PeerCall::Feed(call) => PeerReply::Feed(feed_relay::answer(node, call).await),
         PeerCall::Trial { server, fingerprint } => PeerReply::Trial(suspects::grant_trial(node, &server, fingerprint)),
         PeerCall::News(told) => PeerReply::News(news::answer_peer(node, told)),
-        PeerCall::Drive { job } => PeerReply::Drives(adoption::drive_assigned(node, &job).await),
+        PeerCall::Drive { job } => PeerReply::Drives(job_takeover::drive_assigned(node, &job).await),
         PeerCall::End { job } => {
             let is_driven = node.drivers.lock().unwrap().contains_key(&job);
             node.learn_end(&job);
