--- a/crates/trestlerackd/src/entry/drive_mode.rs
+++ b/crates/trestlerackd/src/entry/drive_mode.rs
@@ -1,21 +1,21 @@
-//! What a driver of a job is to do.
+//! Modes of a job driver: it drives the job or stops for one of three reasons.
 
-/// What a driver is to do.
+/// Whether a driver works on its job, and otherwise why it stops.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum DriveMode {
-    /// Bring the job forward.
+    /// The driver runs the job's items and records their results.
     Drive,
-    /// Its client ended it: stop, and keep unfinished texts.
+    /// The client ended the job: the driver stops and stores unfinished texts as checkpoints.
     End,
-    /// This node stops: give it to another one.
+    /// This node stops: the driver stores checkpoints and gives up ownership of the job.
     HandOver,
-    /// Another node drives it.
+    /// Another node has taken the job over.
     Lost,
 }
 
 impl DriveMode {
-    /// Returns the name that logs use.
+    /// Returns the name of the mode in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Drive => "drive",
--- a/crates/trestlerackd/src/entry/engine_memory.rs
+++ b/crates/trestlerackd/src/entry/engine_memory.rs
@@ -56,7 +56,7 @@
         let memory = &node.board.lock().unwrap().memory;
         (memory.is_oversize(service, &tokens), memory.capacity(service).unwrap_or(0))
     };
-    if is_oversize && driver.oversize.lock().unwrap().insert(index) {
+    if is_oversize && driver.logged_oversize.lock().unwrap().insert(index) {
         let (item, job, wanted) = (&driver.spec.items[index].id, &driver.spec.id, tokens.alone());
         let fields: [(&str, &dyn std::fmt::Display); 4] =
             [("item", item), ("job", job), ("wanted", &wanted), ("capacity", &capacity)];
@@ -67,7 +67,7 @@
 
 /// Puts an item off that an engine refused, if it was found to be too large for any.
 pub fn put_off_oversize(node: &EntryNode, driver: &JobDriver, ledger: &mut JobTracker, index: usize) {
-    if driver.oversize.lock().unwrap().contains(&index) {
+    if driver.logged_oversize.lock().unwrap().contains(&index) {
         ledger.defer(index, node.now() + OVERSIZE_PAUSE);
     }
 }
--- a/crates/trestlerackd/src/entry/item_run.rs
+++ b/crates/trestlerackd/src/entry/item_run.rs
@@ -1,4 +1,4 @@
-//! One run of an item at one model engine.
+//! One run of a job item on one model engine.
 
 use super::attempt::{self, AttemptError, OpenAnswer};
 use super::job_driver::JobDriver;
@@ -18,46 +18,46 @@
 use trestlerack::{Name, event};
 use trestlerack_platform::{EngineRequest, EventDecoder};
 
-/// Time from which a run that ended whole is logged too.
-const LONG_RUN: Duration = Duration::from_secs(3);
+/// Duration from which a run that completed is logged too; other ends are always logged.
+const LONG_RUN_TIME: Duration = Duration::from_secs(3);
 
-/// Time that an engine is given for one run where the route sets no end to a job. Runs that make no
-/// progress are left long before; it bounds what a node that is gone leaves behind at an engine.
-const ENDLESS_RUN_TIME: Duration = Duration::from_secs(60);
+/// Deadline of one run where the route sets no time limit for jobs. Runs without progress are cancelled long
+/// before it; it bounds the work that continues at an engine after its node has crashed.
+const DEFAULT_RUN_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What is to run.
+/// Which run of which item to start.
 #[derive(Clone, Copy)]
 pub struct RunStart {
     /// Position of the item in its job.
     pub index: usize,
-    /// Which of its runs this is.
-    pub lane: RunKind,
-    /// Rank that the run states at its engine.
-    pub rank: Option<u8>,
+    /// Whether this is the primary or the speculative run.
+    pub kind: RunKind,
+    /// Priority of the run that is sent to the engine.
+    pub priority: Option<u8>,
 }
 
-/// A run and what is noted of it for the log.
+/// A run with the statistics that its log line reports.
 struct RunTrace {
     index: usize,
-    lane: RunKind,
-    rank: Option<u8>,
+    kind: RunKind,
+    priority: Option<u8>,
     events: u64,
     longest_gap: Duration,
 }
 
-/// Runs an item and tells its driver how that ended.
+/// Runs an item and reports the outcome to its driver.
 pub async fn run(node: Arc<EntryNode>, driver: Arc<JobDriver>, start: RunStart, ticket: ServerTicket) {
-    let RunStart { index, lane, rank } = start;
+    let RunStart { index, kind, priority } = start;
     let engine = ticket.server.instance.clone();
     let started = node.now();
-    let mut trace = RunTrace { index, lane, rank, events: 0, longest_gap: Duration::ZERO };
+    let mut trace = RunTrace { index, kind, priority, events: 0, longest_gap: Duration::ZERO };
     let call_use = shares::count(&node, &ticket.server.service, driver.customer.as_ref());
     let (end, why) = attempt_run(&node, &driver, &mut trace, ticket).await;
     let item = &driver.spec.items[index];
     let took = node.now().since(started);
-    if end != RunEnd::Complete || took >= LONG_RUN {
+    if end != RunEnd::Complete || took >= LONG_RUN_TIME {
         let fields: [(&str, &dyn std::fmt::Display); 9] = [
-            ("lane", &lane.as_str()),
+            ("lane", &kind.as_str()),
             ("item", &item.id),
             ("job", &driver.spec.id),
             ("engine", &engine),
@@ -73,7 +73,7 @@
         call_use.served();
     }
     node.metrics.run(end);
-    job_runs::run_ended(&node, &driver, index, lane, end);
+    job_runs::record_run_end(&node, &driver, index, kind, end);
 }
 
 async fn attempt_run(
@@ -84,10 +84,10 @@
 ) -> (RunEnd, String) {
     let item = &driver.spec.items[trace.index];
     let instance = ticket.server.instance.clone();
-    let (resume_after, exact_version) = match trace.lane {
+    let (resume_after, exact_version) = match trace.kind {
         RunKind::Primary => {
-            let ledger = driver.ledger.lock().unwrap();
-            (ledger.transcript(trace.index).last_event, ledger.pinned_version(trace.index))
+            let tracker = driver.tracker.lock().unwrap();
+            (tracker.transcript(trace.index).last_event, tracker.pinned_version(trace.index))
         }
         RunKind::Speculative => (None, None),
     };
@@ -99,45 +99,45 @@
         headers: item_headers(item),
         instance: &instance,
         customer: driver.customer.as_deref(),
-        time_left: Some(run_time(node, driver)),
-        priority: trace.rank,
+        time_left: Some(run_timeout(node, driver)),
+        priority: trace.priority,
         exact_version,
         resume_after,
         body: item.body.clone(),
     };
     if !node.may_start_work() {
-        return (RunEnd::NotRun, "news of ended jobs is too old".into());
+        return (RunEnd::NotRun, "the known ends of jobs are too old to start work".into());
     }
-    let limits =
+    let timeouts =
         RunTimeouts::for_event_gap(node.board.lock().unwrap().typical_pace(node.now(), &ticket.server.service));
     let opening = attempt::open_answer(node, ticket, request, false);
-    let open = match clock::timeout(limits.response_head, opening).await {
+    let open = match clock::timeout(timeouts.response_head, opening).await {
         Ok(Ok(open)) => open,
         Ok(Err(AttemptError::MayHaveRun(detail))) => return (RunEnd::Broken, detail),
         Ok(Err(error)) => return (RunEnd::NotRun, error.to_string()),
         Err(_) => {
             node.board.lock().unwrap().failed(node.now(), &instance);
-            return (RunEnd::Broken, "no head of an answer in time".into());
+            return (RunEnd::Broken, "no response head in time".into());
         }
     };
     match open.status {
-        StatusCode::OK => read_events(node, driver, trace, open, limits).await,
-        StatusCode::UNPROCESSABLE_ENTITY => (RunEnd::Rejected, "the engine says that it can never be done".into()),
-        StatusCode::INTERNAL_SERVER_ERROR => (RunEnd::Failed, "the engine answered that it failed".into()),
-        // Its deadline passed, or something before it failed: no failure of the item.
+        StatusCode::OK => read_events(node, driver, trace, open, timeouts).await,
+        StatusCode::UNPROCESSABLE_ENTITY => (RunEnd::Rejected, "the engine rejected the item for good".into()),
+        StatusCode::INTERNAL_SERVER_ERROR => (RunEnd::Failed, "the engine reported a failure".into()),
+        // The deadline passed, or a component in front of the engine failed; it does not count against the item.
         status => {
             node.board.lock().unwrap().failed(node.now(), &instance);
-            (RunEnd::Broken, format!("the engine answered {status}"))
+            (RunEnd::Broken, format!("the engine responded with {status}"))
         }
     }
 }
 
-/// Returns the time that is left until the job's items are given up.
-fn run_time(node: &EntryNode, driver: &JobDriver) -> Duration {
+/// Returns the time until the job's items are given up, or [`DEFAULT_RUN_TIMEOUT`] if its route sets no limit.
+fn run_timeout(node: &EntryNode, driver: &JobDriver) -> Duration {
     let routing = node.routing();
     let route = routing.as_ref().and_then(|routing| routing.select(&driver.spec.host, &driver.spec.path));
     let Some(give_up_ms) = route.map(|route| route.give_up_ms).filter(|give_up_ms| *give_up_ms > 0) else {
-        return ENDLESS_RUN_TIME;
+        return DEFAULT_RUN_TIMEOUT;
     };
     let age_ms = node.store.clock_ms().saturating_sub(driver.accepted_ms);
     Duration::from_millis(give_up_ms.saturating_sub(age_ms))
@@ -159,18 +159,18 @@
     driver: &Arc<JobDriver>,
     trace: &mut RunTrace,
     open: OpenAnswer,
-    limits: RunTimeouts,
+    timeouts: RunTimeouts,
 ) -> (RunEnd, String) {
     let OpenAnswer { mut body, lease, ticket, head, span: _span, .. } = open;
     let instance = ticket.server.instance.clone();
     let item = &driver.spec.items[trace.index];
     let model = driver.spec.model_of(item);
     let mut version = head.version;
-    note_version(node, &instance, model.as_ref(), version);
+    record_version(node, &instance, model.as_ref(), version);
     let mut decoder = EventDecoder::default();
     let mut pace = EventPace::default();
     loop {
-        let frame = match clock::timeout(limits.event_gap, body.frame()).await {
+        let frame = match clock::timeout(timeouts.event_gap, body.frame()).await {
             Ok(Some(Ok(frame))) => frame,
             Ok(Some(Err(error))) => {
                 node.board.lock().unwrap().failed(node.now(), &instance);
@@ -188,16 +188,16 @@
             Ok(events) => events,
             Err(error) => return (RunEnd::Broken, error.to_string()),
         };
-        let gap = note_pace(node, &instance, &mut pace, events.len());
-        note_preemption(node, driver, trace, &ticket.server.service, gap);
+        let gap = record_pace(node, &instance, &mut pace, events.len());
+        detect_preemption(node, driver, trace, &ticket.server.service, gap);
         trace.longest_gap = gap.max(trace.longest_gap);
         trace.events += events.len() as u64;
         for event in events {
             if event.version.is_some() {
                 version = event.version;
-                note_version(node, &instance, model.as_ref(), version);
+                record_version(node, &instance, model.as_ref(), version);
             }
-            let appended = driver.ledger.lock().unwrap().append(trace.index, trace.lane, &event, version);
+            let appended = driver.tracker.lock().unwrap().append(trace.index, trace.kind, &event, version);
             if let Err(error) = appended {
                 return (RunEnd::Broken, format!("event {} cannot be used: {}", event.number, error.as_str()));
             }
@@ -214,14 +214,14 @@
     (RunEnd::Complete, String::new())
 }
 
-fn note_version(node: &EntryNode, instance: &Name, model: Option<&Name>, version: Option<WeightVersion>) {
+fn record_version(node: &EntryNode, instance: &Name, model: Option<&Name>, version: Option<WeightVersion>) {
     if let (Some(model), Some(version)) = (model, version) {
         node.board.lock().unwrap().stated_version(instance, model, version);
     }
 }
 
-/// Takes note of events that came together; returns the time since those before.
-fn note_pace(node: &EntryNode, instance: &Name, pace: &mut EventPace, events: usize) -> Duration {
+/// Records the pace of events that arrived together. Returns the time since the previous ones.
+fn record_pace(node: &EntryNode, instance: &Name, pace: &mut EventPace, events: usize) -> Duration {
     if events == 0 {
         return Duration::ZERO;
     }
@@ -231,14 +231,14 @@
     sample.gap
 }
 
-/// Takes note of a pause that shows that the engine preempted the run.
-fn note_preemption(node: &EntryNode, driver: &JobDriver, trace: &RunTrace, service: &str, gap: Duration) {
-    // Most pauses are shorter than the longest one so far, which needs no second look.
-    if gap <= trace.longest_gap || trace.lane == RunKind::Speculative {
+/// Marks the item as preempted if a gap between events shows that the engine preempted the run.
+fn detect_preemption(node: &EntryNode, driver: &JobDriver, trace: &RunTrace, service: &str, gap: Duration) {
+    // Most gaps are shorter than the longest one so far, so they need no comparison with the median pace.
+    if gap <= trace.longest_gap || trace.kind == RunKind::Speculative {
         return;
     }
-    let usual = node.board.lock().unwrap().typical_pace(node.now(), service);
-    if shows_preemption(gap, usual) {
-        driver.ledger.lock().unwrap().mark_preempted(trace.index);
+    let median_pace = node.board.lock().unwrap().typical_pace(node.now(), service);
+    if shows_preemption(gap, median_pace) {
+        driver.tracker.lock().unwrap().mark_preempted(trace.index);
     }
 }
--- a/crates/trestlerackd/src/entry/job_accept.rs
+++ b/crates/trestlerackd/src/entry/job_accept.rs
@@ -1,7 +1,7 @@
-//! Accepts batch jobs: each once, whatever the store's replies.
+//! Accepts batch jobs. Each is stored exactly once, also if replies of the store are lost.
 
 use super::front::{ClientRequest, ReplyBody, full_reply, own_reply};
-use super::job_calls::{SETTLE_PAUSE, SETTLE_TIME, spec_object};
+use super::job_calls::{CLIENT_WRITE_RETRY_DELAY, CLIENT_WRITE_TIMEOUT, spec_object};
 use super::node::EntryNode;
 use super::tables;
 use super::{job_driver, job_takeover};
@@ -19,13 +19,14 @@
 use trestlerack::{Name, event};
 use trestlerack_platform as platform;
 
-/// Time after which a client is told to return while the store cannot be used.
-const STORE_RETURN: Duration = Duration::from_millis(300);
+/// Retry-After of a submission that is refused because the store is unavailable.
+const STORE_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// Most bytes of a submission that is stored in rows; more goes into an object.
-const ROWS_BYTES: usize = 450_000;
+/// Largest submission, in bytes, that is stored in rows; a larger one is stored in an object.
+const MAX_ROW_SPEC_BYTES: usize = 450_000;
 
-/// Accepts a batch job: its 202 follows one transaction that expects its absence.
+/// Accepts a batch job. It answers 202 only after the transaction that creates the job's record, which expects
+/// that no record exists, is committed.
 pub async fn submit(node: &Arc<EntryNode>, route: &RequestRoute, mut request: ClientRequest) -> Response<ReplyBody> {
     let started = node.now();
     let Some(id) = request.head.request_id.clone() else {
@@ -38,18 +39,18 @@
             return platform::plain_reply(StatusCode::BAD_REQUEST, Some(&id), error.to_string()).map(full_reply);
         }
     };
-    // What was decoded takes the place of the body, also while the store is away.
+    // The decoded job replaces the body in memory; the body must not stay while the store is unavailable.
     request.drop_body();
     let outcome = accept(node, &spec, request.customer()).await;
     let took = node.now().since(started);
     let (status, reply) = match &outcome {
         Ok(_) => (StatusCode::ACCEPTED, own_reply(StatusCode::ACCEPTED, Some(&id))),
-        Err(Refusal::OtherJob) => (StatusCode::CONFLICT, own_reply(StatusCode::CONFLICT, Some(&id))),
-        Err(Refusal::NotAccepted) => {
-            let reply = platform::not_run_reply(Some(&id), STORE_RETURN).map(full_reply);
+        Err(SubmitError::IdTaken) => (StatusCode::CONFLICT, own_reply(StatusCode::CONFLICT, Some(&id))),
+        Err(SubmitError::NotAccepted) => {
+            let reply = platform::not_run_reply(Some(&id), STORE_RETRY_AFTER).map(full_reply);
             (StatusCode::SERVICE_UNAVAILABLE, reply)
         }
-        Err(Refusal::Unknown) => (StatusCode::BAD_GATEWAY, own_reply(StatusCode::BAD_GATEWAY, Some(&id))),
+        Err(SubmitError::Unknown) => (StatusCode::BAD_GATEWAY, own_reply(StatusCode::BAD_GATEWAY, Some(&id))),
     };
     let ms = took.as_millis();
     let (items, store_version) = (spec.items.len(), outcome.as_ref().copied().unwrap_or(0));
@@ -68,104 +69,112 @@
     reply
 }
 
-enum Refusal {
-    /// Nothing was stored and nothing will be.
+/// Why a submission was not accepted.
+enum SubmitError {
+    /// Nothing was stored, and no write is pending.
     NotAccepted,
-    /// The job may be stored.
+    /// The reply of the store was lost; the job may be stored.
     Unknown,
-    /// Another job has this id.
-    OtherJob,
+    /// Another job has the same id.
+    IdTaken,
 }
 
-/// Stores a job and starts to drive it. Returns the version of its head row.
-async fn accept(node: &Arc<EntryNode>, spec: &Arc<JobSpec>, customer: Option<&Name>) -> Result<u64, Refusal> {
+/// Stores a job and has it driven. Returns the version of its record row.
+async fn accept(node: &Arc<EntryNode>, spec: &Arc<JobSpec>, customer: Option<&Name>) -> Result<u64, SubmitError> {
     if let Some(view) = node.job(&spec.id) {
-        return known_job(&view.head, view.version, spec, customer);
+        return check_known_job(&view.head, view.version, spec, customer);
     }
     let content = tables::encode(&**spec);
-    let mut held = node.held.ledger.reserve(MemoryPurpose::Texts, spec.bytes() + content.len());
+    let mut memory = node.held.ledger.reserve(MemoryPurpose::Texts, spec.bytes() + content.len());
     if let Some(customer) = customer {
-        held.set_customer(customer);
+        memory.set_customer(customer);
     }
-    let in_rows = content.len() <= ROWS_BYTES;
-    if !in_rows {
+    let fits_rows = content.len() <= MAX_ROW_SPEC_BYTES;
+    if !fits_rows {
         put_object(node, spec, &content).await?;
     }
-    let spec_rows = if in_rows { content.len().div_ceil(node.settings.store_row_bytes).max(1) } else { 0 };
-    let head = JobRecord { customer: customer.cloned(), ..new_head(node, spec, spec_rows) };
+    let spec_rows = if fits_rows { content.len().div_ceil(node.settings.store_row_bytes).max(1) } else { 0 };
+    let record = JobRecord { customer: customer.cloned(), ..new_record(node, spec, spec_rows) };
     let mut transaction = RowTransaction::new(spec.id.clone()).expect(tables::STATE, tables::HEAD, 0).put(
         tables::STATE,
         tables::HEAD,
-        tables::encode(&head),
+        tables::encode(&record),
     );
-    if in_rows {
+    if fits_rows {
         transaction =
             tables::put_pieces(transaction, tables::SPECS, tables::HEAD, &content, node.settings.store_row_bytes);
     }
     let call = StoreCall::Commit(transaction);
-    let until = node.now() + SETTLE_TIME;
+    let deadline = node.now() + CLIENT_WRITE_TIMEOUT;
     let mut may_be_stored = false;
     for failures in 1.. {
         let error = match node.store.call(&call).await {
             Ok(StoreReply::Committed(moment)) => {
-                start_accepted(node, spec, head, moment.version);
+                start_accepted(node, spec, record, moment.version);
                 return Ok(moment.version);
             }
-            Ok(StoreReply::Conflict(rows)) => return settle_conflict(node, spec, &head, rows),
+            Ok(StoreReply::Conflict(rows)) => return resolve_conflict(node, spec, &record, rows),
             Ok(_) => StoreError::Unknown,
             Err(error) => error,
         };
         may_be_stored |= error == StoreError::Unknown;
-        if node.now() >= until {
+        if node.now() >= deadline {
             break;
         }
-        node.store.pause_after(error, failures, SETTLE_PAUSE).await;
+        node.store.pause_after(error, failures, CLIENT_WRITE_RETRY_DELAY).await;
     }
-    Err(if may_be_stored { Refusal::Unknown } else { Refusal::NotAccepted })
+    Err(if may_be_stored { SubmitError::Unknown } else { SubmitError::NotAccepted })
 }
 
-/// Tells a repeated submission from another job of the same id; that of another customer is one.
-fn known_job(head: &JobRecord, version: u64, spec: &JobSpec, customer: Option<&Name>) -> Result<u64, Refusal> {
-    let is_same = head.digest == spec.digest() && head.customer.as_ref() == customer;
-    if is_same { Ok(version) } else { Err(Refusal::OtherJob) }
+/// Returns the version of a known job if this is a repeated submission of it. A job with another content or of
+/// another customer is an error.
+fn check_known_job(
+    record: &JobRecord,
+    version: u64,
+    spec: &JobSpec,
+    customer: Option<&Name>,
+) -> Result<u64, SubmitError> {
+    let is_same = record.digest == spec.digest() && record.customer.as_ref() == customer;
+    if is_same { Ok(version) } else { Err(SubmitError::IdTaken) }
 }
 
-/// A head row exists: it is the same job, accepted here with a lost reply or by another node.
-fn settle_conflict(
+/// Handles an existing record row: the job was stored by this call, whose reply was lost, or by another one, at
+/// any node, or it is another job with the same id.
+fn resolve_conflict(
     node: &Arc<EntryNode>,
     spec: &Arc<JobSpec>,
     own: &JobRecord,
     rows: Vec<trestlerack::rows::StoredRow>,
-) -> Result<u64, Refusal> {
-    let Some(row) = rows.into_iter().find(|row| &*row.key == tables::HEAD) else { return Err(Refusal::Unknown) };
-    let head: JobRecord = tables::decode(&row.value).map_err(|_| Refusal::Unknown)?;
-    let outcome = known_job(&head, row.version, spec, own.customer.as_ref());
-    if head.write_id == own.write_id {
-        start_accepted(node, spec, head, row.version);
+) -> Result<u64, SubmitError> {
+    let Some(row) = rows.into_iter().find(|row| &*row.key == tables::HEAD) else { return Err(SubmitError::Unknown) };
+    let record: JobRecord = tables::decode(&row.value).map_err(|_| SubmitError::Unknown)?;
+    let outcome = check_known_job(&record, row.version, spec, own.customer.as_ref());
+    if record.write_id == own.write_id {
+        start_accepted(node, spec, record, row.version);
     }
     outcome
 }
 
-/// Has a job that was just stored driven by the node that its head names.
-fn start_accepted(node: &Arc<EntryNode>, spec: &Arc<JobSpec>, head: JobRecord, version: u64) {
-    node.learn_head(head.clone(), version, &spec.id);
-    if head.owner == node.settings.name {
-        job_driver::start(node, spec.clone(), head, version);
+/// Starts to drive a job that was just stored, at the node that its record names.
+fn start_accepted(node: &Arc<EntryNode>, spec: &Arc<JobSpec>, record: JobRecord, version: u64) {
+    node.learn_head(record.clone(), version, &spec.id);
+    if record.owner == node.settings.name {
+        job_driver::start(node, spec.clone(), record, version);
     } else {
-        tokio::spawn(job_takeover::ensure_driven(node.clone(), spec.id.clone(), head));
+        tokio::spawn(job_takeover::ensure_driven(node.clone(), spec.id.clone(), record));
     }
 }
 
-/// Returns the name and the row of the node that is to drive a job.
+/// Chooses the node that is to drive a job. Returns its name and row.
 fn choose_owner(node: &EntryNode, spec: &JobSpec) -> (Name, NodeRow) {
-    let mut newest: Option<(u64, Name)> = None;
-    let mut driven: BTreeMap<Name, BTreeSet<Option<Name>>> = BTreeMap::new();
+    let mut newest_owner: Option<(u64, Name)> = None;
+    let mut models_by_owner: BTreeMap<Name, BTreeSet<Option<Name>>> = BTreeMap::new();
     for view in node.jobs.lock().unwrap().values() {
-        let head = &view.head;
-        if head.model == spec.model && head.host == spec.host {
-            newest = newest.max(Some((head.accepted_ms, head.owner.clone())));
-        } else if !view.is_ended && !head.is_complete() {
-            driven.entry(head.owner.clone()).or_default().insert(head.model.clone());
+        let record = &view.head;
+        if record.model == spec.model && record.host == spec.host {
+            newest_owner = newest_owner.max(Some((record.accepted_ms, record.owner.clone())));
+        } else if !view.is_ended && !record.is_complete() {
+            models_by_owner.entry(record.owner.clone()).or_default().insert(record.model.clone());
         }
     }
     let own = (node.settings.name.clone(), node.settings.capacity());
@@ -173,22 +182,22 @@
     if !nodes.contains(&own) {
         nodes.push(own);
     }
-    // A node that does not follow the store would have to read it whole first.
+    // A node that is no follower would have to read the complete store first.
     if nodes.iter().any(|(name, _)| node.levels.is_follower(name)) {
         nodes.retain(|(name, _)| node.levels.is_follower(name));
     }
-    let models = |name: &Name| driven.get(name).map_or(0, BTreeSet::len);
+    let models = |name: &Name| models_by_owner.get(name).map_or(0, BTreeSet::len);
     let candidates: Vec<OwnerCandidate> =
         nodes.into_iter().map(|(name, capacity)| OwnerCandidate { models: models(&name), name, capacity }).collect();
     let model = spec.model.as_deref().unwrap_or("");
-    let newest = newest.as_ref().map(|(_, owner)| &**owner);
-    let owner = choose_job_owner(model, &node.settings.name, newest, &candidates);
-    // A node that was listed a moment ago may be gone from the list by now.
+    let newest_owner = newest_owner.as_ref().map(|(_, owner)| &**owner);
+    let owner = choose_job_owner(model, &node.settings.name, newest_owner, &candidates);
+    // A node that was registered a moment ago may have been removed since.
     let peer = owner.and_then(|owner| Some((owner.name.clone(), node.peers.get(&owner.name)?)));
     peer.unwrap_or_else(|| (node.settings.name.clone(), node.node_row()))
 }
 
-fn new_head(node: &Arc<EntryNode>, spec: &JobSpec, spec_rows: usize) -> JobRecord {
+fn new_record(node: &Arc<EntryNode>, spec: &JobSpec, spec_rows: usize) -> JobRecord {
     let (owner, row) = choose_owner(node, spec);
     JobRecord {
         owner,
@@ -210,8 +219,8 @@
     }
 }
 
-async fn put_object(node: &Arc<EntryNode>, spec: &JobSpec, content: &Bytes) -> Result<(), Refusal> {
+async fn put_object(node: &Arc<EntryNode>, spec: &JobSpec, content: &Bytes) -> Result<(), SubmitError> {
     let call = StoreCall::PutObject { name: spec_object(&spec.id, spec.digest()), content: content.clone() };
-    // The object alone accepts nothing: only the head row does.
-    node.store.call(&call).await.map(|_| ()).map_err(|_| Refusal::NotAccepted)
+    // The object alone does not accept the job, only the record row does; so a lost reply is safe here.
+    node.store.call(&call).await.map(|_| ()).map_err(|_| SubmitError::NotAccepted)
 }
--- a/crates/trestlerackd/src/entry/job_calls.rs
+++ b/crates/trestlerackd/src/entry/job_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of clients about jobs that were accepted: read results, read a body, end.
+//! Client calls on accepted jobs: read results, read the body of an item, end a job.
 
 use super::front::{ClientRequest, ReplyBody, full_reply, own_reply};
 use super::node::{EntryNode, JobView};
@@ -15,72 +15,75 @@
 use trestlerack::{Name, Timestamp, event};
 use trestlerack_platform as platform;
 
-/// Time for which a write whose reply was lost is settled before the client is told that nothing
-/// is known.
-pub const SETTLE_TIME: Duration = Duration::from_millis(2_500);
+/// Time for which a write is retried before the client is told that it failed, or that its outcome is unknown.
+pub const CLIENT_WRITE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Pause between two tries of one write.
-pub const SETTLE_PAUSE: Duration = Duration::from_millis(60);
+/// Delay between two attempts of one write.
+pub const CLIENT_WRITE_RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// Time after which a client is told to return when a node cannot tell what it asks.
-const DOUBT_RETURN: Duration = Duration::from_millis(100);
+/// Retry-After of a reply to a client whose job cannot be read from the store.
+const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// Most bytes of texts in one page of results; the pages of the platform allow 1 MB.
-const PAGE_BYTES: usize = 700_000;
+/// Largest size of the texts in one page of results, in bytes; the platform allows pages of 1 MB.
+const MAX_PAGE_BYTES: usize = 700_000;
 
-/// Interval at which a node that is not told of results looks for them.
-const RESULT_LOOK: Duration = Duration::from_millis(150);
+/// Interval at which a node that does not watch the store polls it for results.
+const RESULT_POLL_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Why a job cannot be told.
-pub enum JobDoubt {
+/// Why a job could not be read.
+pub enum JobLookupError {
     /// The job does not exist.
-    Missing,
-    /// The store cannot be asked.
-    Unsure,
+    NotFound,
+    /// The store is unavailable.
+    Unavailable,
 }
 
-/// Finds the job that a request is about, which must belong to its caller; to any other caller it is
-/// unknown.
-async fn find_own_job(node: &Arc<EntryNode>, job: &Name, request: &ClientRequest) -> Result<JobView, JobDoubt> {
+/// Finds the job of a request if it belongs to the customer of the caller. To any other caller it does not
+/// exist.
+async fn find_caller_job(
+    node: &Arc<EntryNode>,
+    job: &Name,
+    request: &ClientRequest,
+) -> Result<JobView, JobLookupError> {
     let view = find_job(node, job).await?;
-    if request.caller.may_see(view.head.customer.as_ref()) { Ok(view) } else { Err(JobDoubt::Missing) }
+    if request.caller.may_see(view.head.customer.as_ref()) { Ok(view) } else { Err(JobLookupError::NotFound) }
 }
 
-/// Finds a job, in the store if this node does not know it.
-async fn find_job(node: &Arc<EntryNode>, job: &Name) -> Result<JobView, JobDoubt> {
+/// Finds a job, and reads it from the store if this node does not know it.
+async fn find_job(node: &Arc<EntryNode>, job: &Name) -> Result<JobView, JobLookupError> {
     if let Some(view) = node.job(job) {
         return Ok(view);
     }
     read_job(node, job).await
 }
 
-/// Reads a job's head and end from the store.
-async fn read_job(node: &Arc<EntryNode>, job: &Name) -> Result<JobView, JobDoubt> {
-    let rows = tables::read_all(&node.store, tables::STATE, job).await.map_err(|_| JobDoubt::Unsure)?;
+/// Reads a job's record, and whether the job has ended, from the store.
+async fn read_job(node: &Arc<EntryNode>, job: &Name) -> Result<JobView, JobLookupError> {
+    let rows = tables::read_all(&node.store, tables::STATE, job).await.map_err(|_| JobLookupError::Unavailable)?;
     let is_ended = rows.iter().any(|row| &*row.key == tables::END);
-    let head = rows.into_iter().find(|row| &*row.key == tables::HEAD).ok_or(JobDoubt::Missing)?;
-    node.learn_head(tables::decode(&head.value).map_err(|_| JobDoubt::Unsure)?, head.version, job);
+    let row = rows.into_iter().find(|row| &*row.key == tables::HEAD).ok_or(JobLookupError::NotFound)?;
+    node.learn_head(tables::decode(&row.value).map_err(|_| JobLookupError::Unavailable)?, row.version, job);
     if is_ended {
         node.learn_end(job);
     }
-    node.job(job).ok_or(JobDoubt::Unsure)
+    node.job(job).ok_or(JobLookupError::Unavailable)
 }
 
-fn doubt_reply(doubt: &JobDoubt, request: &ClientRequest, job: &Name) -> Response<ReplyBody> {
+fn error_reply(error: &JobLookupError, request: &ClientRequest, job: &Name) -> Response<ReplyBody> {
     let id = request.head.request_id.as_ref();
-    match doubt {
-        JobDoubt::Missing => {
+    match error {
+        JobLookupError::NotFound => {
             logs::write(event::JOB_READ_FAILED, &[("job", job), ("why", &"no such job")]);
             own_reply(StatusCode::NOT_FOUND, id)
         }
-        JobDoubt::Unsure => {
-            logs::write(event::JOB_READ_FAILED, &[("job", job), ("why", &"the store cannot be asked")]);
-            platform::not_run_reply(id, DOUBT_RETURN).map(full_reply)
+        JobLookupError::Unavailable => {
+            logs::write(event::JOB_READ_FAILED, &[("job", job), ("why", &"the store is unavailable")]);
+            platform::not_run_reply(id, UNAVAILABLE_RETRY_AFTER).map(full_reply)
         }
     }
 }
 
-/// Returns the results from a position on, and waits for one if there is none yet.
+/// Returns the results from a position on, and waits up to the poll time of the request if there are none yet.
 pub async fn read_results(
     node: &Arc<EntryNode>,
     job: &Name,
@@ -88,23 +91,23 @@
     request: &ClientRequest,
 ) -> Response<ReplyBody> {
     let deadline = node.now() + request.head.poll_time;
-    if let Err(doubt) = find_own_job(node, job, request).await {
-        return doubt_reply(&doubt, request, job);
+    if let Err(error) = find_caller_job(node, job, request).await {
+        return error_reply(&error, request, job);
     }
     let view = match wait_for_result(node, job, from, deadline).await {
         Ok(view) => view,
-        Err(doubt) => return doubt_reply(&doubt, request, job),
+        Err(error) => return error_reply(&error, request, job),
     };
     let results = if view.head.recorded > from {
         match load_results(node, job, from).await {
             Ok(results) => results,
-            Err(_) => return doubt_reply(&JobDoubt::Unsure, request, job),
+            Err(_) => return error_reply(&JobLookupError::Unavailable, request, job),
         }
     } else {
         Vec::new()
     };
     if view.head.recorded > from && results.is_empty() {
-        return doubt_reply(&JobDoubt::Unsure, request, job);
+        return error_reply(&JobLookupError::Unavailable, request, job);
     }
     let page = platform::JobRead { total: view.head.total, from, results };
     match platform::encode_page(&page) {
@@ -127,8 +130,8 @@
     job: &Name,
     from: usize,
     deadline: Timestamp,
-) -> Result<JobView, JobDoubt> {
-    let mut news = node.job_news.subscribe();
+) -> Result<JobView, JobLookupError> {
+    let mut changes = node.job_news.subscribe();
     loop {
         let view = find_job(node, job).await?;
         let has_more = view.head.recorded > from;
@@ -137,33 +140,33 @@
             return Ok(view);
         }
         if view.is_ended {
-            // Its driver may have recorded more before it heard of the end, and the heads of ended
-            // jobs are not read again when a watch loses its history.
+            // The driver may have recorded more results before it learned of the end, and records of ended jobs
+            // are not read again when a watch loses its history.
             return read_job(node, job).await;
         }
         if node.is_stopping() || now >= deadline {
-            // The watch of a node may be behind by more than a client that read results elsewhere
-            // allows, 1.8 s at 300 nodes, so that there is nothing yet is told by the store. While it
-            // cannot be asked nothing is listed either.
+            // The watch may lag by 1.8 s at 300 nodes, and a client may already have read results at another
+            // node. So the store is read before the answer that there are none. While the store is
+            // unavailable no results are recorded either.
             return Ok(read_job(node, job).await.unwrap_or(view));
         }
         if node.levels.is_direct() {
-            // Ends with a change of any job or with the deadline; both lead to another look.
-            let _ = clock::timeout(deadline.since(now), news.changed()).await;
+            // A change of any job and the deadline both lead to the next check, so the outcome is ignored.
+            let _ = clock::timeout(deadline.since(now), changes.changed()).await;
         } else {
-            clock::sleep(deadline.since(now).min(RESULT_LOOK)).await;
-            // While the store cannot be asked nothing is listed either.
+            clock::sleep(deadline.since(now).min(RESULT_POLL_INTERVAL)).await;
+            // While the store is unavailable no results are recorded either, so an error is ignored.
             let _ = read_job(node, job).await;
         }
     }
 }
 
-/// Name of the row of a result; keys are ordered as positions are.
+/// Returns the row key of the result at a position. Keys have the order of positions.
 pub fn result_key(position: usize) -> String {
     format!("{position:08}")
 }
 
-/// Reads recorded results from a position on, up to a page.
+/// Reads up to one page of recorded results from a position on.
 pub async fn load_results(node: &Arc<EntryNode>, job: &str, from: usize) -> Result<Vec<JobResult>, StoreError> {
     let (rows, more) = tables::read_page(&node.store, tables::RESULTS, job, &result_key(from)).await?;
     let mut joined = tables::join_pieces(rows);
@@ -174,7 +177,7 @@
     let (mut results, mut bytes) = (Vec::new(), 0);
     for (_, content) in joined {
         bytes += content.len();
-        if bytes > PAGE_BYTES && !results.is_empty() {
+        if bytes > MAX_PAGE_BYTES && !results.is_empty() {
             break;
         }
         results.push(tables::decode(&content)?);
@@ -185,34 +188,34 @@
 /// Returns the body of an item.
 pub async fn read_item(node: &Arc<EntryNode>, job: &Name, item: &Name, request: &ClientRequest) -> Response<ReplyBody> {
     let id = request.head.request_id.as_ref();
-    let view = match find_own_job(node, job, request).await {
+    let view = match find_caller_job(node, job, request).await {
         Ok(view) => view,
-        Err(doubt) => return doubt_reply(&doubt, request, job),
+        Err(error) => return error_reply(&error, request, job),
     };
-    let driven = node.drivers.lock().unwrap().get(job).map(|driver| driver.spec.clone());
-    let spec = match driven {
+    let driven_spec = node.drivers.lock().unwrap().get(job).map(|driver| driver.spec.clone());
+    let spec = match driven_spec {
         Some(spec) => spec,
         None => match load_spec(node, job, &view.head).await {
             Ok(spec) => Arc::new(spec),
-            Err(_) => return doubt_reply(&JobDoubt::Unsure, request, job),
+            Err(_) => return error_reply(&JobLookupError::Unavailable, request, job),
         },
     };
-    match spec.items.iter().find(|held| held.id == *item) {
-        Some(held) => platform::plain_reply(StatusCode::OK, id, held.body.clone()).map(full_reply),
+    match spec.items.iter().find(|job_item| job_item.id == *item) {
+        Some(job_item) => platform::plain_reply(StatusCode::OK, id, job_item.body.clone()).map(full_reply),
         None => own_reply(StatusCode::NOT_FOUND, id),
     }
 }
 
-/// Name of the object that holds a large submission. It bears the digest, because an object of a
-/// refused submission stays, and another one of the same id must not be taken for it.
+/// Returns the name of the object that stores a large submission. It contains the digest, because the object of
+/// a refused submission stays and must not be read as that of a later one with the same id.
 pub fn spec_object(job: &str, digest: u64) -> Name {
     format!("spec-{job}-{digest:016x}").into()
 }
 
-/// Reads a submission back.
-pub async fn load_spec(node: &Arc<EntryNode>, job: &Name, head: &JobRecord) -> Result<JobSpec, StoreError> {
-    if head.spec_rows == 0 {
-        return match node.store.call(&StoreCall::GetObject { name: spec_object(job, head.digest) }).await? {
+/// Reads the specification of an accepted job from the store.
+pub async fn load_spec(node: &Arc<EntryNode>, job: &Name, record: &JobRecord) -> Result<JobSpec, StoreError> {
+    if record.spec_rows == 0 {
+        return match node.store.call(&StoreCall::GetObject { name: spec_object(job, record.digest) }).await? {
             StoreReply::Object(Some(content)) => tables::decode(&content),
             _ => Err(StoreError::Unknown),
         };
@@ -226,48 +229,49 @@
 /// Ends a job. Repeated calls change nothing.
 pub async fn end_job(node: &Arc<EntryNode>, job: &Name, request: &ClientRequest) -> Response<ReplyBody> {
     let id = request.head.request_id.as_ref();
-    let view = match find_own_job(node, job, request).await {
+    let view = match find_caller_job(node, job, request).await {
         Ok(view) => view,
-        Err(doubt) => return doubt_reply(&doubt, request, job),
+        Err(error) => return error_reply(&error, request, job),
     };
     if !view.is_ended {
         let transaction =
             RowTransaction::new(job.clone()).put(tables::STATE, tables::END, tables::encode(&node.settings.name));
-        if !settle_write(node, transaction).await {
-            logs::write(event::JOB_READ_FAILED, &[("job", job), ("why", &"the end cannot be stored")]);
+        if !retry_write(node, transaction).await {
+            logs::write(event::JOB_READ_FAILED, &[("job", job), ("why", &"the end could not be stored")]);
             return own_reply(StatusCode::BAD_GATEWAY, id);
         }
         logs::write(event::JOB_ENDED, &[("job", job), ("listed", &view.head.recorded), ("total", &view.head.total)]);
         node.learn_end(job);
-        tokio::spawn(tell_owner(node.clone(), job.clone(), view.head.owner_address.clone()));
+        tokio::spawn(notify_owner(node.clone(), job.clone(), view.head.owner_address.clone()));
     }
     own_reply(StatusCode::OK, id)
 }
 
-/// Tells the owner of a job that it is ended, so that it does not run items until its watch says so.
-async fn tell_owner(node: Arc<EntryNode>, job: Name, owner: Name) {
+/// Tells the owner of a job that the job has ended, so that it does not run items until its watch reports it.
+async fn notify_owner(node: Arc<EntryNode>, job: Name, owner: Name) {
     if owner.is_empty() || owner == node.settings.peer_listen {
         return;
     }
     if node.peers.end(&owner, &job).await.is_none() {
-        logs::write(event::END_UNTOLD, &[("job", &job), ("owner", &owner), ("why", &"it does not answer")]);
+        logs::write(event::END_UNTOLD, &[("job", &job), ("owner", &owner), ("why", &"it does not respond")]);
     }
 }
 
-/// Makes a write that may be repeated until the store has it, within [`SETTLE_TIME`].
-async fn settle_write(node: &Arc<EntryNode>, transaction: RowTransaction) -> bool {
+/// Retries an idempotent write until the store has committed it, for at most [`CLIENT_WRITE_TIMEOUT`]. Returns
+/// whether it was committed.
+async fn retry_write(node: &Arc<EntryNode>, transaction: RowTransaction) -> bool {
     let call = StoreCall::Commit(transaction);
-    let until = node.now() + SETTLE_TIME;
+    let deadline = node.now() + CLIENT_WRITE_TIMEOUT;
     for failures in 1.. {
         let error = match node.store.call(&call).await {
             Ok(StoreReply::Committed(_)) => return true,
             Ok(_) => StoreError::Unknown,
             Err(error) => error,
         };
-        if node.now() >= until {
+        if node.now() >= deadline {
             break;
         }
-        node.store.pause_after(error, failures, SETTLE_PAUSE).await;
+        node.store.pause_after(error, failures, CLIENT_WRITE_RETRY_DELAY).await;
     }
     false
 }
--- a/crates/trestlerackd/src/entry/job_driver.rs
+++ b/crates/trestlerackd/src/entry/job_driver.rs
@@ -1,4 +1,4 @@
-//! Drives one job on the node that owns it: places items, scores texts, records results.
+//! Drives one job on the node that owns it: starts item runs, has complete texts scored and records results.
 
 use super::drive_mode::DriveMode;
 use super::node::EntryNode;
@@ -19,17 +19,17 @@
 use trestlerack::{Name, Timestamp, event};
 use trestlerack_platform as platform;
 
-/// Longest time between two looks at a job without news.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
+/// Longest time between two checks of a job that nothing wakes.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Interval at which a job's progress is logged.
-const TELL_INTERVAL: Duration = Duration::from_secs(1);
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A run in progress.
 pub struct ItemRun {
-    /// Ends the run, which closes its connection.
+    /// Aborts the run, which closes its connection to the engine.
     pub handle: AbortHandle,
-    /// When it was started.
+    /// Start time of the run.
     pub started: Timestamp,
 }
 
@@ -37,44 +37,44 @@
 pub struct JobDriver {
     /// What was submitted.
     pub spec: Arc<JobSpec>,
-    /// Models that its items ask for.
+    /// Models that its items request.
     pub models: BTreeSet<Name>,
     /// Customer that the job belongs to.
     pub customer: Option<Name>,
-    /// When the job was accepted, on the store's clock.
+    /// Time at which the job was accepted, on the store's clock.
     pub accepted_ms: u64,
-    /// What each item asks for, by its position.
+    /// Fingerprint of the request of each item, by its position.
     pub fingerprints: Vec<RequestFingerprint>,
-    /// What the score call of each item asks for.
+    /// Fingerprint of the score call of each item, by its position.
     pub score_fingerprints: Vec<Option<RequestFingerprint>>,
-    /// What each item takes in the memory of its engine, by its position.
+    /// Tokens that each item needs in the KV cache of its engine, by its position.
     pub tokens: Vec<Option<TokenNeed>>,
-    /// Items that were logged as too large for any engine.
-    pub oversize: Mutex<HashSet<usize>>,
-    /// Items that were logged as held.
-    pub held: Mutex<HashSet<usize>>,
-    /// State of its items.
-    pub ledger: Mutex<JobTracker>,
-    /// Wakes the driver.
+    /// Items already logged as too large for any engine.
+    pub logged_oversize: Mutex<HashSet<usize>>,
+    /// Items already logged as blocked, because their content crashed servers.
+    pub logged_blocked: Mutex<HashSet<usize>>,
+    /// State of the job's items.
+    pub tracker: Mutex<JobTracker>,
+    /// Wakes the driver for a check before the next interval.
     pub wake: Notify,
-    /// Wakes what records results.
-    pub record: Notify,
+    /// Wakes the task that records results.
+    pub wake_recorder: Notify,
     /// Runs in progress.
     pub runs: Mutex<HashMap<(usize, RunKind), ItemRun>>,
     /// Items whose score calls are in progress.
     pub scoring: Mutex<HashSet<usize>>,
-    /// Bytes of its specification.
+    /// Bytes of the specification.
     spec_bytes: usize,
-    /// Count of the bytes of its specification and its texts.
+    /// Reservation for the bytes of the specification and the texts.
     memory: Mutex<MemoryReservation>,
     mode: AtomicU8,
-    /// Whether `ledger` reflects the stored state of the job, which is read after the driver is created.
-    is_ledger_loaded: AtomicBool,
+    /// Whether `tracker` reflects the stored state of the job, which is read after the driver is created.
+    is_tracker_loaded: AtomicBool,
 }
 
 impl JobDriver {
-    fn new(spec: Arc<JobSpec>, head: &JobRecord, ledger: JobTracker, memory: MemoryReservation) -> Self {
-        let customer = head.customer.clone();
+    fn new(spec: Arc<JobSpec>, record: &JobRecord, tracker: JobTracker, memory: MemoryReservation) -> Self {
+        let customer = record.customer.clone();
         let fingerprint = |item: &JobItem| {
             let customer = customer.as_deref();
             RequestContent { customer, host: &spec.host, path: &item.path, body: &item.body }.fingerprint()
@@ -88,17 +88,17 @@
             models,
             spec,
             customer,
-            accepted_ms: head.accepted_ms,
+            accepted_ms: record.accepted_ms,
             fingerprints,
             score_fingerprints,
             tokens,
-            oversize: Mutex::default(),
-            held: Mutex::default(),
-            ledger: Mutex::new(ledger),
+            logged_oversize: Mutex::default(),
+            logged_blocked: Mutex::default(),
+            tracker: Mutex::new(tracker),
             wake: Notify::new(),
-            record: Notify::new(),
+            wake_recorder: Notify::new(),
             mode: AtomicU8::new(DriveMode::Drive as u8),
-            is_ledger_loaded: AtomicBool::new(false),
+            is_tracker_loaded: AtomicBool::new(false),
             runs: Mutex::default(),
             scoring: Mutex::default(),
             spec_bytes: memory.bytes(),
@@ -115,20 +115,20 @@
         }
     }
 
-    /// Counts what the job holds now.
-    fn count_memory(&self) {
-        let texts = self.ledger.lock().unwrap().text_bytes();
+    /// Sets the memory reservation to the current bytes of the specification and the texts.
+    fn update_memory(&self) {
+        let texts = self.tracker.lock().unwrap().text_bytes();
         self.memory.lock().unwrap().resize(self.spec_bytes + texts);
     }
 
-    /// Returns whether the job is to be brought forward.
+    /// Returns whether the driver starts work for the job.
     pub fn is_driving(&self) -> bool {
         self.mode() == DriveMode::Drive
     }
 
-    /// Returns whether the driver is active and its ledger has been loaded from the store.
-    pub fn can_place_items(&self) -> bool {
-        self.is_driving() && self.is_ledger_loaded.load(Ordering::Relaxed)
+    /// Returns whether the driver is active and its tracker has been loaded from the store.
+    pub fn can_start_items(&self) -> bool {
+        self.is_driving() && self.is_tracker_loaded.load(Ordering::Relaxed)
     }
 
     /// Returns whether another node drives the job.
@@ -136,99 +136,100 @@
         self.mode() == DriveMode::Lost
     }
 
-    /// Returns whether the job is to be given to another node.
+    /// Returns whether the job is handed over to another node.
     pub fn is_handed_over(&self) -> bool {
         self.mode() == DriveMode::HandOver
     }
 
     /// Stops because another node drives the job.
-    pub fn lose(&self) {
-        self.leave(DriveMode::Lost);
+    pub fn mark_lost(&self) {
+        self.stop_driving(DriveMode::Lost);
     }
 
-    fn leave(&self, mode: DriveMode) {
-        // The first reason to leave stands, except that a lost job needs no more writes.
+    fn stop_driving(&self, mode: DriveMode) {
+        // The first reason to stop is kept. Only `Lost` replaces it, since a lost job needs no more writes.
         let current = self.mode();
         if current == DriveMode::Drive || mode == DriveMode::Lost {
             self.mode.store(mode as u8, Ordering::Relaxed);
         }
         self.wake.notify_one();
-        self.record.notify_one();
+        self.wake_recorder.notify_one();
     }
 
     /// Stops because the client ended the job.
     pub fn end(&self) {
-        self.leave(DriveMode::End);
+        self.stop_driving(DriveMode::End);
     }
 
     /// Stops because this node stops.
     pub fn hand_over(&self) {
-        self.leave(DriveMode::HandOver);
+        self.stop_driving(DriveMode::HandOver);
     }
 
-    /// Takes a run out to be moved, if it has been on its engine for long enough.
-    pub fn take_run(&self, now: Timestamp, index: usize) -> Option<AbortHandle> {
+    /// Removes an item's primary run so that it can be moved, if it has run for at least
+    /// [`run_moves::MIN_MOVE_AGE`]. Returns its abort handle.
+    pub fn take_movable_run(&self, now: Timestamp, index: usize) -> Option<AbortHandle> {
         let mut runs = self.runs.lock().unwrap();
         let key = (index, RunKind::Primary);
-        let is_due = runs.get(&key).is_some_and(|run| now.since(run.started) >= run_moves::MOVE_AGE);
+        let is_due = runs.get(&key).is_some_and(|run| now.since(run.started) >= run_moves::MIN_MOVE_AGE);
         if is_due { runs.remove(&key).map(|run| run.handle) } else { None }
     }
 
-    /// Ends up to `most` second runs. Returns how many it ended.
-    pub fn cancel_spares(&self, most: usize) -> usize {
+    /// Cancels up to `max_runs` speculative runs. Returns how many it cancelled.
+    pub fn cancel_speculative(&self, max_runs: usize) -> usize {
         let mut runs = self.runs.lock().unwrap();
-        let spares = runs.keys().filter(|(_, lane)| *lane == RunKind::Speculative).take(most);
-        let spares: Vec<(usize, RunKind)> = spares.copied().collect();
-        let ended: Vec<ItemRun> = spares.iter().filter_map(|key| runs.remove(key)).collect();
+        let speculative = runs.keys().filter(|(_, kind)| *kind == RunKind::Speculative).take(max_runs);
+        let speculative: Vec<(usize, RunKind)> = speculative.copied().collect();
+        let ended: Vec<ItemRun> = speculative.iter().filter_map(|key| runs.remove(key)).collect();
         drop(runs);
         ended.iter().for_each(|run| run.handle.abort());
-        let mut ledger = self.ledger.lock().unwrap();
-        spares.iter().for_each(|(index, _)| {
-            ledger.end_speculative(*index, RunEnd::Broken);
+        let mut tracker = self.tracker.lock().unwrap();
+        speculative.iter().for_each(|(index, _)| {
+            tracker.end_speculative(*index, RunEnd::Broken);
         });
         ended.len()
     }
 
     fn cancel_runs(&self, now: Timestamp) {
         let runs: Vec<((usize, RunKind), ItemRun)> = self.runs.lock().unwrap().drain().collect();
-        let mut ledger = self.ledger.lock().unwrap();
-        for ((index, lane), run) in runs {
+        let mut tracker = self.tracker.lock().unwrap();
+        for ((index, kind), run) in runs {
             run.handle.abort();
-            match lane {
-                RunKind::Primary => ledger.end_run(now, index, RunEnd::Broken),
-                RunKind::Speculative => ledger.end_speculative(index, RunEnd::Broken),
+            match kind {
+                RunKind::Primary => tracker.end_run(now, index, RunEnd::Broken),
+                RunKind::Speculative => tracker.end_speculative(index, RunEnd::Broken),
             };
         }
     }
 }
 
-/// Starts to drive a job that this node owns, unless it does already.
-pub fn start(node: &Arc<EntryNode>, spec: Arc<JobSpec>, head: JobRecord, version: u64) {
+/// Starts a driver for a job that this node owns, unless it has one.
+pub fn start(node: &Arc<EntryNode>, spec: Arc<JobSpec>, record: JobRecord, version: u64) {
     if node.drivers.lock().unwrap().contains_key(&spec.id) {
         return;
     }
     let node = node.clone();
-    let ledger = JobTracker::new(spec.clone(), TrackerSettings::default(), Vec::new(), HashMap::new());
-    // What was accepted is kept in any case, and counted so that others make room for it.
+    let tracker = JobTracker::new(spec.clone(), TrackerSettings::default(), Vec::new(), HashMap::new());
+    // An accepted job is kept even over the memory limit. Reserving its bytes makes the node shed other load.
     let mut memory = node.held.ledger.reserve(MemoryPurpose::Texts, spec.bytes());
-    if let Some(customer) = &head.customer {
+    if let Some(customer) = &record.customer {
         memory.set_customer(customer);
     }
-    let driver = Arc::new(JobDriver::new(spec.clone(), &head, ledger, memory));
+    let driver = Arc::new(JobDriver::new(spec.clone(), &record, tracker, memory));
     node.drivers.lock().unwrap().insert(spec.id.clone(), driver.clone());
     server_feed::hold_driven(&node);
-    // News of the job's end that came after its rows were read found no driver to tell.
+    // The job may have ended after its rows were read and before the driver was registered.
     if node.job(&spec.id).is_some_and(|view| view.is_ended) {
         driver.end();
     }
     tokio::spawn(async move {
         let settings = wait_for_settings(&node, &spec).await;
-        let loaded = job_texts::load_state(&node, &spec, &head, settings).await;
+        let loaded = job_texts::load_state(&node, &spec, &record, settings).await;
         match loaded {
-            Ok(ledger) => {
-                *driver.ledger.lock().unwrap() = ledger;
-                driver.is_ledger_loaded.store(true, Ordering::Relaxed);
-                drive(&node, &driver, head, version).await;
+            Ok(tracker) => {
+                *driver.tracker.lock().unwrap() = tracker;
+                driver.is_tracker_loaded.store(true, Ordering::Relaxed);
+                drive(&node, &driver, record, version).await;
             }
             Err(error) => logs::write(event::JOB_LEFT, &[("job", &spec.id), ("why", &error)]),
         }
@@ -236,18 +237,18 @@
     });
 }
 
-/// Returns what the configuration says of a job. A process that has just started may be given a job before it
-/// knows the configuration, and would give up items by other bounds.
+/// Returns the tracker settings of a job, once the configuration is known. A process that has just started may
+/// be given a job before it has the configuration, and would give up items by the default limits.
 async fn wait_for_settings(node: &EntryNode, spec: &JobSpec) -> TrackerSettings {
     loop {
         match node.routing() {
-            Some(routing) => return ledger_settings(&routing, spec),
-            None => clock::sleep(LOOK_INTERVAL).await,
+            Some(routing) => return tracker_settings(&routing, spec),
+            None => clock::sleep(POLL_INTERVAL).await,
         }
     }
 }
 
-fn ledger_settings(routing: &RoutingTable, spec: &JobSpec) -> TrackerSettings {
+fn tracker_settings(routing: &RoutingTable, spec: &JobSpec) -> TrackerSettings {
     let defaults = TrackerSettings::default();
     let route = routing.select(&spec.host, &spec.path);
     let scorer = spec.items.first().and_then(|item| item.scorer.as_ref());
@@ -260,40 +261,40 @@
     }
 }
 
-async fn drive(node: &Arc<EntryNode>, driver: &Arc<JobDriver>, head: JobRecord, version: u64) {
+async fn drive(node: &Arc<EntryNode>, driver: &Arc<JobDriver>, record: JobRecord, version: u64) {
     let job = driver.spec.id.clone();
-    logs::write(event::JOB_DRIVEN, &[("job", &job), ("fence", &head.fence), ("listed", &head.recorded)]);
-    let text_log = tokio::spawn(job_texts::log_texts(node.clone(), driver.clone(), head.fence));
-    let recorder = tokio::spawn(job_records::record_results(node.clone(), driver.clone(), head, version));
-    let mut told_at = node.now();
-    while driver.mode() == DriveMode::Drive && !driver.ledger.lock().unwrap().is_complete() {
-        if node.now().since(told_at) >= TELL_INTERVAL {
-            told_at = node.now();
-            tell_progress(node, driver);
+    logs::write(event::JOB_DRIVEN, &[("job", &job), ("fence", &record.fence), ("listed", &record.recorded)]);
+    let text_logger = tokio::spawn(job_texts::log_texts(node.clone(), driver.clone(), record.fence));
+    let recorder = tokio::spawn(job_records::record_results(node.clone(), driver.clone(), record, version));
+    let mut logged_at = node.now();
+    while driver.mode() == DriveMode::Drive && !driver.tracker.lock().unwrap().is_complete() {
+        if node.now().since(logged_at) >= PROGRESS_INTERVAL {
+            logged_at = node.now();
+            log_progress(node, driver);
         }
         if node.held.is_bounded() {
-            driver.count_memory();
+            driver.update_memory();
         }
         if let Some(routing) = node.routing() {
-            bring_forward(node, driver, &routing);
+            advance_job(node, driver, &routing);
         }
-        // Ends with news of the job or with the interval; both lead to another look.
-        let _ = clock::timeout(LOOK_INTERVAL, driver.wake.notified()).await;
+        // A wake-up and the end of the interval both lead to the next check, so the outcome is ignored.
+        let _ = clock::timeout(POLL_INTERVAL, driver.wake.notified()).await;
     }
-    text_log.abort();
+    text_logger.abort();
     driver.cancel_runs(node.now());
-    driver.record.notify_one();
+    driver.wake_recorder.notify_one();
     let recorded = recorder.await.ok().flatten();
-    if let (Some((head, version)), DriveMode::End | DriveMode::HandOver) = (recorded, driver.mode()) {
-        job_texts::leave_job(node, driver, head, version).await;
+    if let (Some((record, version)), DriveMode::End | DriveMode::HandOver) = (recorded, driver.mode()) {
+        job_texts::release_job(node, driver, record, version).await;
     }
     let why = driver.mode().as_str();
     logs::write(event::JOB_LEFT, &[("job", &job), ("why", &why)]);
 }
 
-fn tell_progress(node: &Arc<EntryNode>, driver: &Arc<JobDriver>) {
+fn log_progress(node: &Arc<EntryNode>, driver: &Arc<JobDriver>) {
     let spec = &driver.spec;
-    let progress = driver.ledger.lock().unwrap().progress();
+    let progress = driver.tracker.lock().unwrap().progress();
     let routing = node.routing();
     let route = routing.as_ref().and_then(|routing| routing.select(&spec.host, &spec.path));
     let service = route.and_then(|route| route.service_for(&spec.id));
@@ -314,28 +315,31 @@
     logs::write(event::JOB_PROGRESS, &fields);
 }
 
-/// One look at the job: gives up what is overdue, places items and starts score calls.
-fn bring_forward(node: &Arc<EntryNode>, driver: &Arc<JobDriver>, routing: &RoutingTable) {
+/// Performs one check of the job: gives up an overdue job, moves and starts runs, and starts score calls.
+fn advance_job(node: &Arc<EntryNode>, driver: &Arc<JobDriver>, routing: &RoutingTable) {
     let Some(route) = routing.select(&driver.spec.host, &driver.spec.path) else {
         logs::write(event::JOB_OVERDUE, &[("job", &driver.spec.id), ("why", &"its route was removed")]);
-        driver.ledger.lock().unwrap().give_up_all();
-        driver.record.notify_one();
+        driver.tracker.lock().unwrap().give_up_all();
+        driver.wake_recorder.notify_one();
         return;
     };
     let age_ms = node.store.clock_ms().saturating_sub(driver.accepted_ms);
     if route.give_up_ms > 0 && age_ms >= route.give_up_ms {
-        logs::write(event::JOB_OVERDUE, &[("job", &driver.spec.id), ("why", &"its time is over")]);
+        logs::write(
+            event::JOB_OVERDUE,
+            &[("job", &driver.spec.id), ("why", &"the time limit of its route has passed")],
+        );
         driver.cancel_runs(node.now());
-        driver.ledger.lock().unwrap().give_up_all();
-        driver.record.notify_one();
+        driver.tracker.lock().unwrap().give_up_all();
+        driver.wake_recorder.notify_one();
         return;
     }
-    // Other nodes may have ended the job meanwhile.
+    // The job may have ended without this node knowing it yet.
     if !node.may_start_work() {
         return;
     }
     run_moves::move_slow_run(node, driver, route);
-    job_runs::place_items(node, driver, routing);
-    job_runs::start_spare(node, driver, route);
+    job_runs::start_items(node, driver, routing);
+    job_runs::start_speculative_run(node, driver, route);
     job_scores::start_scores(node, driver);
 }
--- a/crates/trestlerackd/src/entry/job_records.rs
+++ b/crates/trestlerackd/src/entry/job_records.rs
@@ -1,4 +1,4 @@
-//! Records the results of a job: position and content in one transaction with the head.
+//! Records the results of a job: each transaction stores results together with the job record that counts them.
 
 use super::job_calls::result_key;
 use super::job_driver::JobDriver;
@@ -11,76 +11,78 @@
 use trestlerack::request::{JobRecord, JobResult};
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall, StoreReply};
 
-/// Pause before a write that failed is sent again.
-pub const WRITE_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before a failed write of a job driver is retried.
+pub const RECORD_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Records results as they come, several in one write while the write before is on its way.
-/// Returns the head row at the end, or `None` if another node drives the job.
+/// Records results as they become ready, until the job is complete or its driver stops. Results that become
+/// ready during a write are stored together in the next one. Returns the last job record and its version, or
+/// `None` if another node drives the job.
 pub async fn record_results(
     node: Arc<EntryNode>,
     driver: Arc<JobDriver>,
-    mut head: JobRecord,
+    mut record: JobRecord,
     mut version: u64,
 ) -> Option<(JobRecord, u64)> {
     loop {
-        let batch = driver.ledger.lock().unwrap().take_results(tables::COMMIT_ROWS / 2, tables::COMMIT_BYTES / 2);
+        let batch = driver.tracker.lock().unwrap().take_results(tables::COMMIT_ROWS / 2, tables::COMMIT_BYTES / 2);
         if batch.is_empty() {
-            let is_over = !driver.is_driving() || driver.ledger.lock().unwrap().is_complete();
-            if is_over {
-                return Some((head, version));
+            let is_done = !driver.is_driving() || driver.tracker.lock().unwrap().is_complete();
+            if is_done {
+                return Some((record, version));
             }
-            driver.record.notified().await;
+            driver.wake_recorder.notified().await;
             continue;
         }
-        let next = JobRecord { write_id: node.write_id(), recorded: head.recorded + batch.len(), ..head.clone() };
-        let transaction = result_writes(&node, &driver.spec.id, &head, version, &batch, &next);
-        match commit_head(&node, &driver, transaction, &next).await {
+        let next_record =
+            JobRecord { write_id: node.write_id(), recorded: record.recorded + batch.len(), ..record.clone() };
+        let transaction = result_transaction(&node, &driver.spec.id, &record, version, &batch, &next_record);
+        match commit_record(&node, &driver, transaction, &next_record).await {
             Some(committed) => {
                 version = committed;
-                head = next;
+                record = next_record;
             }
             None => {
-                driver.lose();
+                driver.mark_lost();
                 return None;
             }
         }
-        let mut ledger = driver.ledger.lock().unwrap();
-        batch.iter().for_each(|result| ledger.mark_recorded(&result.id));
-        drop(ledger);
+        let mut tracker = driver.tracker.lock().unwrap();
+        batch.iter().for_each(|result| tracker.mark_recorded(&result.id));
+        drop(tracker);
         node.metrics.results(batch.len());
-        node.learn_head(head.clone(), version, &driver.spec.id);
+        node.learn_head(record.clone(), version, &driver.spec.id);
         driver.wake.notify_one();
     }
 }
 
-fn result_writes(
+fn result_transaction(
     node: &EntryNode,
     job: &Name,
-    head: &JobRecord,
+    record: &JobRecord,
     version: u64,
     batch: &[JobResult],
-    next: &JobRecord,
+    next_record: &JobRecord,
 ) -> RowTransaction {
     let mut transaction = RowTransaction::new(job.clone()).expect(tables::STATE, tables::HEAD, version).put(
         tables::STATE,
         tables::HEAD,
-        tables::encode(next),
+        tables::encode(next_record),
     );
     for (offset, result) in batch.iter().enumerate() {
         let content = tables::encode(result);
-        let key = result_key(head.recorded + offset);
+        let key = result_key(record.recorded + offset);
         transaction = tables::put_pieces(transaction, tables::RESULTS, &key, &content, node.settings.store_row_bytes);
     }
     transaction
 }
 
-/// Commits a write of the head until its outcome is known. Returns the new version, or `None` if
-/// another node has taken the job over.
-pub async fn commit_head(
+/// Retries a write of the job record until its outcome is known. Returns the new version, or `None` if another
+/// node has taken the job over.
+pub async fn commit_record(
     node: &Arc<EntryNode>,
     driver: &JobDriver,
     transaction: RowTransaction,
-    next: &JobRecord,
+    next_record: &JobRecord,
 ) -> Option<u64> {
     let call = StoreCall::Commit(transaction);
     for failures in 1.. {
@@ -88,9 +90,9 @@
             Ok(StoreReply::Committed(moment)) => return Some(moment.version),
             Ok(StoreReply::Conflict(rows)) => {
                 let row = rows.into_iter().find(|row| &*row.key == tables::HEAD)?;
-                let held: JobRecord = tables::decode(&row.value).ok()?;
-                // An earlier try of the same write may have been applied without its reply.
-                return (held.write_id == next.write_id).then_some(row.version);
+                let stored: JobRecord = tables::decode(&row.value).ok()?;
+                // An earlier attempt of the same write may have been committed although its reply was lost.
+                return (stored.write_id == next_record.write_id).then_some(row.version);
             }
             Ok(_) => StoreError::Unknown,
             Err(error) => error,
@@ -98,7 +100,7 @@
         if driver.is_lost() {
             return None;
         }
-        node.store.pause_after(error, failures, WRITE_PAUSE).await;
+        node.store.pause_after(error, failures, RECORD_RETRY_DELAY).await;
     }
     None
 }
--- a/crates/trestlerackd/src/entry/job_runs.rs
+++ b/crates/trestlerackd/src/entry/job_runs.rs
@@ -1,4 +1,4 @@
-//! Places the items of a job on engines and starts second runs.
+//! Starts runs of a job's items on engines, both primary and speculative ones.
 
 use super::item_run::{self, RunStart};
 use super::job_driver::{ItemRun, JobDriver};
@@ -13,22 +13,23 @@
 use trestlerack::version::{RequestRoute, RoutingTable};
 use trestlerack::{Name, event};
 
-/// Time after which a held item is looked at again; a whole answer elsewhere may end the hold.
-const HELD_PAUSE: Duration = Duration::from_millis(250);
+/// Longest time until a blocked item is checked again: a complete response to the same content on another node
+/// may unblock it early.
+const BLOCKED_RECHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Starts waiting items on engines with free places, after those of earlier jobs of the same model and
-/// customer. Without this order, a job would reuse every place that its own runs free, and an earlier job,
+/// Starts waiting items on engines with free slots, after those of earlier jobs of the same model and
+/// customer. Without this order, a job would reuse every slot that its own runs free, and an earlier job,
 /// whose results a trainer needs first, could starve.
-pub fn place_items(node: &Arc<EntryNode>, driver: &Arc<JobDriver>, routing: &RoutingTable) {
+pub fn start_items(node: &Arc<EntryNode>, driver: &Arc<JobDriver>, routing: &RoutingTable) {
     for job in earlier_jobs(node, driver).iter().chain([driver]) {
         if let Some(route) = routing.select(&job.spec.host, &job.spec.path) {
-            place_job_items(node, job, route);
+            start_job_items(node, job, route);
         }
     }
 }
 
 /// Returns the drivers on this node of jobs of the same model and customer accepted before this one, oldest
-/// first. Jobs whose ledger is not loaded yet are skipped.
+/// first. Jobs whose tracker is not loaded yet are skipped.
 fn earlier_jobs(node: &EntryNode, driver: &JobDriver) -> Vec<Arc<JobDriver>> {
     if driver.spec.model.is_none() {
         return Vec::new();
@@ -38,7 +39,7 @@
     let is_earlier = |job: &&Arc<JobDriver>| {
         job.spec.model == driver.spec.model
             && job.customer == driver.customer
-            && job.can_place_items()
+            && job.can_start_items()
             && acceptance_order(job) < driver_order
     };
     let drivers = node.drivers.lock().unwrap();
@@ -48,54 +49,54 @@
     earlier
 }
 
-fn place_job_items(node: &Arc<EntryNode>, driver: &Arc<JobDriver>, route: &RequestRoute) {
+fn start_job_items(node: &Arc<EntryNode>, driver: &Arc<JobDriver>, route: &RequestRoute) {
     let now = node.now();
-    let mut left = node.held.runs_left(now, || runs_of_node(node));
-    let mut ledger = driver.ledger.lock().unwrap();
-    let waiting: Vec<usize> = ledger.waiting(now).collect();
+    let mut remaining_runs = node.held.runs_left(now, || count_runs(node));
+    let mut tracker = driver.tracker.lock().unwrap();
+    let waiting: Vec<usize> = tracker.waiting(now).collect();
     if waiting.is_empty() {
         return;
     }
-    let last = ledger.final_groups();
-    for (placed, index) in waiting.iter().copied().enumerate() {
+    let final_groups = tracker.final_groups();
+    for (handled, index) in waiting.iter().copied().enumerate() {
         let item = &driver.spec.items[index];
-        if hold_back(node, driver, &mut ledger, index) {
+        if defer_suspect(node, driver, &mut tracker, index) {
             continue;
         }
         let model = driver.spec.model_of(item);
         let Some(need) = item_need(node, driver, route, index, model.as_deref()) else { return };
-        let is_long = ledger.is_long(index) || last.contains(&item.group);
-        let mut need = ServerNeed { pinned: ledger.pinned_version(index), is_long, ..need };
+        let is_long = tracker.is_long(index) || final_groups.contains(&item.group);
+        let mut need = ServerNeed { pinned: tracker.pinned_version(index), is_long, ..need };
         let board = node.board.lock().unwrap();
         if need.pinned.is_some() && board.count(now, &need) == 0 {
-            // Nobody holds that version any more.
-            ledger.discard_text(index);
+            // No engine has that version any more.
+            tracker.discard_text(index);
             need.pinned = None;
         }
         drop(board);
-        let (entry, is_apart) = choose_engine(node, driver.fingerprints[index], &need);
+        let (entry, is_isolated) = choose_engine(node, driver.fingerprints[index], &need);
         engine_memory::log_left(node, &item.id, &need);
         let is_oversize = engine_memory::is_oversize(node, driver, index, need.service);
         match entry {
-            // The item waits until what is held leaves room for its text.
-            Some(_) if left == 0 => return,
+            // The item waits until the memory limit allows another text.
+            Some(_) if remaining_runs == 0 => return,
             Some(entry) => {
-                left -= 1;
-                start_run(node, driver, &mut ledger, index, entry);
+                remaining_runs -= 1;
+                start_run(node, driver, &mut tracker, index, entry);
             }
-            // Others may find a place all the same.
+            // Other items may still find a free slot.
             None if is_oversize => node.board.lock().unwrap().keep_engine(now, &need),
-            None if need.pinned.is_some() || is_apart => {}
+            None if need.pinned.is_some() || is_isolated => {}
             None => {
-                drop(ledger);
-                return yield_spares(node, driver, waiting.len() - placed);
+                drop(tracker);
+                return cancel_speculative_runs(node, driver, waiting.len() - handled);
             }
         }
     }
 }
 
-/// Returns what an item of `model` needs of an engine, as far as its job and its route say; `None` if its
-/// route leads nowhere.
+/// Returns the requirements of its job and route for the engine of an item of `model`; `None` if the route has
+/// no service.
 pub fn item_need<'a>(
     node: &'a EntryNode,
     driver: &'a JobDriver,
@@ -114,148 +115,153 @@
     })
 }
 
-/// Returns how many runs this node has in progress.
-fn runs_of_node(node: &EntryNode) -> usize {
+/// Returns the number of runs in progress on this node.
+fn count_runs(node: &EntryNode) -> usize {
     let drivers: Vec<Arc<JobDriver>> = node.drivers.lock().unwrap().values().cloned().collect();
     drivers.iter().map(|driver| driver.runs.lock().unwrap().len()).sum()
 }
 
-/// Puts an item off whose content is held, or ended servers so lately that it is to be judged first.
-/// Returns whether it does.
-fn hold_back(node: &Arc<EntryNode>, driver: &JobDriver, ledger: &mut JobTracker, index: usize) -> bool {
+/// Defers an item whose content is blocked, or crashed servers so recently that its state is still open.
+/// Returns whether the item was deferred.
+fn defer_suspect(node: &Arc<EntryNode>, driver: &JobDriver, tracker: &mut JobTracker, index: usize) -> bool {
     let fingerprint = driver.fingerprints[index];
     let wait = suspects::wait_time(node, fingerprint);
     if wait.is_zero() {
         return false;
     }
-    ledger.defer(index, node.now() + HELD_PAUSE.min(wait));
-    let Some(left) = suspects::held_for(node, fingerprint) else { return true };
-    if driver.held.lock().unwrap().insert(index) {
-        suspects::log_held(node, &driver.spec.items[index].id, fingerprint, left);
+    tracker.defer(index, node.now() + BLOCKED_RECHECK_INTERVAL.min(wait));
+    let Some(block_time) = suspects::held_for(node, fingerprint) else { return true };
+    if driver.logged_blocked.lock().unwrap().insert(index) {
+        suspects::log_held(node, &driver.spec.items[index].id, fingerprint, block_time);
     }
     true
 }
 
-/// Chooses an engine for an item, and says whether that has to be one without other suspects. An item
-/// that was there at one end only goes anywhere: with each engine that ends, a dozen others are.
+/// Chooses an engine for an item. Also returns whether the item has to be isolated from other suspects. An item
+/// that ran at only one crash goes to any engine: about a dozen innocent items run on each engine that crashes.
 fn choose_engine(
     node: &EntryNode,
     fingerprint: RequestFingerprint,
     need: &ServerNeed<'_>,
 ) -> (Option<ServerEntry>, bool) {
-    let is_apart = suspects::is_repeated(node, fingerprint);
-    let entry = if is_apart {
+    let is_isolated = suspects::is_repeated(node, fingerprint);
+    let entry = if is_isolated {
         suspects::choose_apart(node, fingerprint, need)
     } else {
         node.board.lock().unwrap().choose(node.now(), need).map(|belief| belief.entry.clone())
     };
-    (entry, is_apart)
+    (entry, is_isolated)
 }
 
-/// Ends as many second runs of the model's jobs as items wait without a place: a second run only
-/// saves work of a later job, and an item that waits holds up its own.
-fn yield_spares(node: &Arc<EntryNode>, driver: &JobDriver, most: usize) {
+/// Cancels as many speculative runs of the model's jobs as items wait without a slot: a speculative run only
+/// saves work for a later job, while a waiting item delays its own job.
+fn cancel_speculative_runs(node: &Arc<EntryNode>, driver: &JobDriver, waiting_items: usize) {
     let drivers: Vec<Arc<JobDriver>> = node.drivers.lock().unwrap().values().cloned().collect();
-    let mut left = most;
+    let mut remaining = waiting_items;
     for other in drivers.iter().filter(|other| other.spec.model == driver.spec.model) {
-        left -= other.cancel_spares(left);
+        remaining -= other.cancel_speculative(remaining);
     }
-    if left < most {
-        let ended = most - left;
-        logs::write(event::SPARES_YIELDED, &[("job", &driver.spec.id), ("waiting", &most), ("ended", &ended)]);
+    if remaining < waiting_items {
+        let ended = waiting_items - remaining;
+        logs::write(event::SPARES_YIELDED, &[("job", &driver.spec.id), ("waiting", &waiting_items), ("ended", &ended)]);
     }
 }
 
-/// Starts the run that is to bring an item's result.
+/// Starts the primary run of an item on an engine.
 pub fn start_run(
     node: &Arc<EntryNode>,
     driver: &Arc<JobDriver>,
-    ledger: &mut JobTracker,
+    tracker: &mut JobTracker,
     index: usize,
     engine: ServerEntry,
 ) {
-    let lane = RunKind::Primary;
-    let rank = urgency::of_item(node, driver, ledger, &engine.service, index, lane);
-    ledger.start(index, &engine.instance);
-    spawn_run(node, driver, RunStart { index, lane, rank }, engine);
+    let kind = RunKind::Primary;
+    let priority = urgency::of_item(node, driver, tracker, &engine.service, index, kind);
+    tracker.start(index, &engine.instance);
+    spawn_run(node, driver, RunStart { index, kind, priority }, engine);
 }
 
 fn spawn_run(node: &Arc<EntryNode>, driver: &Arc<JobDriver>, start: RunStart, engine: ServerEntry) {
-    let RunStart { index, lane, .. } = start;
+    let RunStart { index, kind, .. } = start;
     log_start(node, driver, start, &engine);
     let ticket = ServerTicket::new(node, engine, driver.fingerprints[index]).holding(driver.tokens[index]);
     let run = tokio::spawn(item_run::run(node.clone(), driver.clone(), start, ticket));
     let run = ItemRun { handle: run.abort_handle(), started: node.now() };
-    driver.runs.lock().unwrap().insert((index, lane), run);
+    driver.runs.lock().unwrap().insert((index, kind), run);
 }
 
 fn log_start(node: &EntryNode, driver: &JobDriver, start: RunStart, engine: &ServerEntry) {
     let item = &driver.spec.items[start.index];
-    let (lane, model) = (start.lane.as_str(), driver.spec.model_of(item));
-    let rank = start.rank.map_or_else(|| "none".to_owned(), |rank| rank.to_string());
-    let about: [(&str, &dyn std::fmt::Display); 5] =
-        [("lane", &lane), ("item", &item.id), ("job", &driver.spec.id), ("engine", &engine.instance), ("rank", &rank)];
+    let (kind, model) = (start.kind.as_str(), driver.spec.model_of(item));
+    let priority = start.priority.map_or_else(|| "none".to_owned(), |priority| priority.to_string());
+    let about: [(&str, &dyn std::fmt::Display); 5] = [
+        ("lane", &kind),
+        ("item", &item.id),
+        ("job", &driver.spec.id),
+        ("engine", &engine.instance),
+        ("rank", &priority),
+    ];
     choice_log::write_choice(node, event::RUN_STARTED, &about, engine, model.as_deref());
 }
 
-/// Starts a second run of an item that may not be whole before its client ends the job: on the
-/// newest weights, from the beginning, while an engine has more than half of its places free and
-/// nobody waits. A later
-/// job that brings the item again and needs newer weights than the first run had then goes on from
-/// the second one. One run at each look.
-pub fn start_spare(node: &Arc<EntryNode>, driver: &Arc<JobDriver>, route: &RequestRoute) {
+/// Starts a speculative run of an item that may not be complete before its client ends the job.
+///
+/// The run uses the newest weights and starts from the beginning, on an engine with more than half of its slots
+/// free and only while no item waits. If a later job submits the item again and needs newer weights than the
+/// primary run had, it continues from the text of the speculative run. Each check starts at most one.
+pub fn start_speculative_run(node: &Arc<EntryNode>, driver: &Arc<JobDriver>, route: &RequestRoute) {
     let Some(model) = driver.spec.model.clone().filter(|_| !route.single_version) else { return };
     let newest = node.weights.newest_version(&model);
     if newest <= driver.spec.min_version || is_any_item_waiting(node) {
         return;
     }
-    let mut ledger = driver.ledger.lock().unwrap();
-    // A second run of a suspect would be one more engine that ends.
-    let is_clear = |(index, _): &(usize, Name)| !suspects::is_suspect(node, driver.fingerprints[*index]);
-    let Some((index, engine)) = ledger.speculation_candidates(newest).into_iter().find(is_clear) else { return };
+    let mut tracker = driver.tracker.lock().unwrap();
+    // A second run of a suspect might crash one more engine.
+    let is_unsuspected = |(index, _): &(usize, Name)| !suspects::is_suspect(node, driver.fingerprints[*index]);
+    let Some((index, engine)) = tracker.speculation_candidates(newest).into_iter().find(is_unsuspected) else { return };
     let Some(need) = item_need(node, driver, route, index, Some(&model)) else { return };
     let avoid = std::slice::from_ref(&engine);
     let need = ServerNeed { weights: Some((&model, newest)), room: ServerRoom::Half, avoid, ..need };
     let entry = node.board.lock().unwrap().choose(node.now(), &need).map(|belief| belief.entry.clone());
     let Some(entry) = entry else { return };
-    let lane = RunKind::Speculative;
-    let rank = urgency::of_item(node, driver, &ledger, &entry.service, index, lane);
-    ledger.start_speculative(index, &entry.instance);
-    drop(ledger);
-    spawn_run(node, driver, RunStart { index, lane, rank }, entry);
+    let kind = RunKind::Speculative;
+    let priority = urgency::of_item(node, driver, &tracker, &entry.service, index, kind);
+    tracker.start_speculative(index, &entry.instance);
+    drop(tracker);
+    spawn_run(node, driver, RunStart { index, kind, priority }, entry);
 }
 
 fn is_any_item_waiting(node: &EntryNode) -> bool {
     let now = node.now();
     let drivers: Vec<Arc<JobDriver>> = node.drivers.lock().unwrap().values().cloned().collect();
-    drivers.iter().any(|driver| driver.ledger.lock().unwrap().waiting(now).next().is_some())
+    drivers.iter().any(|driver| driver.tracker.lock().unwrap().waiting(now).next().is_some())
 }
 
-/// Takes note of the end of a run, from the run's own task.
-pub fn run_ended(node: &Arc<EntryNode>, driver: &Arc<JobDriver>, index: usize, lane: RunKind, end: RunEnd) {
+/// Records the end of a run. Called by the task of the run.
+pub fn record_run_end(node: &Arc<EntryNode>, driver: &Arc<JobDriver>, index: usize, kind: RunKind, end: RunEnd) {
     let mut runs = driver.runs.lock().unwrap();
-    runs.remove(&(index, lane));
-    let mut ledger = driver.ledger.lock().unwrap();
-    let (is_whole, other) = match lane {
+    runs.remove(&(index, kind));
+    let mut tracker = driver.tracker.lock().unwrap();
+    let (is_complete, other) = match kind {
         RunKind::Primary => {
-            let is_whole = ledger.end_run(node.now(), index, end);
+            let is_complete = tracker.end_run(node.now(), index, end);
             if end == RunEnd::NotRun {
-                engine_memory::put_off_oversize(node, driver, &mut ledger, index);
+                engine_memory::put_off_oversize(node, driver, &mut tracker, index);
             }
-            (is_whole, RunKind::Speculative)
+            (is_complete, RunKind::Speculative)
         }
-        RunKind::Speculative => (ledger.end_speculative(index, end), RunKind::Primary),
+        RunKind::Speculative => (tracker.end_speculative(index, end), RunKind::Primary),
     };
-    let is_settled = *ledger.phase(index) == ItemPhase::Finished;
-    drop(ledger);
-    // A whole text needs no second run.
-    let needless = if is_whole || is_settled { runs.remove(&(index, other)) } else { None };
-    if let Some(run) = needless {
+    let is_finished = *tracker.phase(index) == ItemPhase::Finished;
+    drop(tracker);
+    // A complete text makes the item's other run redundant.
+    let redundant = if is_complete || is_finished { runs.remove(&(index, other)) } else { None };
+    if let Some(run) = redundant {
         run.handle.abort();
     }
     drop(runs);
-    if is_settled {
-        driver.record.notify_one();
+    if is_finished {
+        driver.wake_recorder.notify_one();
     }
     driver.wake.notify_one();
 }
--- a/crates/trestlerackd/src/entry/job_takeover.rs
+++ b/crates/trestlerackd/src/entry/job_takeover.rs
@@ -1,7 +1,7 @@
-//! Takes over jobs whose owner is gone.
+//! Takes over jobs whose owner does not drive them.
 //!
-//! Any node may take a job by a conditional write of its head; the writes of the node before it
-//! then fail. Who looks first is decided by rank, so that nodes rarely race.
+//! Any node may take a job over by a conditional write of its record, after which the writes of the previous owner
+//! fail. Nodes try it in the order of their rank as successors, so that they rarely race.
 
 use super::job_driver;
 use super::node::{EntryNode, JobView};
@@ -17,56 +17,58 @@
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall, StoreReply};
 use trestlerack::{Name, Timestamp, event};
 
-/// Interval between two looks at all open jobs.
-const LOOK_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between two checks of all open jobs.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time without news of a job after which its first two successors ask its owner.
-const QUIET_TIME: Duration = Duration::from_millis(500);
+/// Time without a change of a job after which its first two successors probe its owner.
+const SUCCESSOR_SILENCE_LIMIT: Duration = Duration::from_millis(500);
 
-/// The same for every other node, and what each further rank adds.
-const QUIET_TIME_OTHERS: Duration = Duration::from_millis(1_500);
-const RANK_TIME: Duration = Duration::from_millis(200);
+/// Time without a change of a job after which every other node probes its owner, before [`RANK_DELAY`] is added.
+const OTHERS_SILENCE_LIMIT: Duration = Duration::from_millis(1_500);
 
-/// Nodes that ask the owner early.
-const SUCCESSORS: usize = 2;
+/// Delay that each rank in the order of successors adds, so that nodes do not act at the same time.
+const RANK_DELAY: Duration = Duration::from_millis(200);
 
-/// Time between two questions about one job.
-const ASK_INTERVAL: Duration = Duration::from_millis(250);
+/// Number of successors that probe the owner after [`SUCCESSOR_SILENCE_LIMIT`].
+const FIRST_SUCCESSORS: usize = 2;
 
-/// Questions without an answer after which the owner counts as gone.
-const STRIKES: u32 = 2;
+/// Shortest time between two probes for one job.
+const PROBE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What this node asked about a job.
+/// Number of failed probes after which the owner counts as unreachable.
+const MAX_FAILED_PROBES: u32 = 2;
+
+/// Probes of a job's owner by this node.
 #[derive(Default)]
-struct JobSuspicion {
-    asked_at: Timestamp,
-    strikes: u32,
+struct OwnerProbes {
+    probed_at: Timestamp,
+    failed_probes: u32,
     unclaimed_since: Option<Timestamp>,
 }
 
-/// Looks after open jobs until the process ends.
+/// Drives open jobs that this node owns, and takes over those whose owner is unreachable, until the process ends.
 pub async fn watch_owners(node: Arc<EntryNode>) {
-    let mut suspicions: HashMap<Name, JobSuspicion> = HashMap::new();
+    let mut probes_by_job: HashMap<Name, OwnerProbes> = HashMap::new();
     loop {
-        clock::sleep(LOOK_INTERVAL).await;
-        // Only a node that follows the store sees each change of a job.
+        clock::sleep(POLL_INTERVAL).await;
+        // Only a follower of the store sees each change of a job.
         node.levels.wait_direct().await;
         if node.is_stopping() || node.routing().is_none() {
             continue;
         }
         let open = open_jobs(&node);
-        suspicions.retain(|job, _| open.iter().any(|(id, _)| id == job));
+        probes_by_job.retain(|job, _| open.iter().any(|(id, _)| id == job));
         for (job, view) in open {
             if is_own(&node, &view.head) {
                 drive_assigned(&node, &job).await;
                 continue;
             }
-            let suspicion = suspicions.entry(job.clone()).or_default();
-            if is_due(&node, &job, &view, suspicion).await {
-                let is_silent = suspicion.strikes >= STRIKES;
+            let probes = probes_by_job.entry(job.clone()).or_default();
+            if should_take_over(&node, &job, &view, probes).await {
+                let is_unresponsive = probes.failed_probes >= MAX_FAILED_PROBES;
                 take_over(&node, &job).await;
-                if is_silent {
-                    unlist(&node, &view.head.owner).await;
+                if is_unresponsive {
+                    unregister_node(&node, &view.head.owner).await;
                 }
             }
         }
@@ -80,11 +82,11 @@
     jobs.iter().filter(|(id, view)| is_open(id, view)).map(|(id, view)| (id.clone(), view.clone())).collect()
 }
 
-fn is_own(node: &EntryNode, head: &JobRecord) -> bool {
-    head.owner == node.settings.name && head.incarnation == node.incarnation
+fn is_own(node: &EntryNode, record: &JobRecord) -> bool {
+    record.owner == node.settings.name && record.incarnation == node.incarnation
 }
 
-/// Drives a job that names this node as its owner. Returns whether it is driven here now.
+/// Drives a job whose record names this node as its owner. Returns whether this node drives it now.
 pub async fn drive_assigned(node: &Arc<EntryNode>, job: &Name) -> bool {
     let is_driven = || node.drivers.lock().unwrap().contains_key(job);
     if is_driven() {
@@ -93,136 +95,143 @@
     if node.is_stopping() {
         return false;
     }
-    let Ok((head, version, is_ended)) = read_head(node, job).await else { return false };
-    if is_ended || !is_own(node, &head) {
+    let Ok((record, version, is_ended)) = read_record(node, job).await else { return false };
+    if is_ended || !is_own(node, &record) {
         return false;
     }
-    let Ok(spec) = job_calls::load_spec(node, job, &head).await else { return false };
-    node.learn_head(head.clone(), version, job);
-    job_driver::start(node, Arc::new(spec), head, version);
+    let Ok(spec) = job_calls::load_spec(node, job, &record).await else { return false };
+    node.learn_head(record.clone(), version, job);
+    job_driver::start(node, Arc::new(spec), record, version);
     true
 }
 
-async fn read_head(node: &Arc<EntryNode>, job: &Name) -> Result<(JobRecord, u64, bool), StoreError> {
+async fn read_record(node: &Arc<EntryNode>, job: &Name) -> Result<(JobRecord, u64, bool), StoreError> {
     let rows = tables::read_all(&node.store, tables::STATE, job).await?;
     let is_ended = rows.iter().any(|row| &*row.key == tables::END);
     let row = rows.into_iter().find(|row| &*row.key == tables::HEAD).ok_or(StoreError::Unknown)?;
     Ok((tables::decode(&row.value)?, row.version, is_ended))
 }
 
-/// Asks the owner of a job that was just accepted to drive it, and takes the job over if the
-/// owner does not.
-pub async fn ensure_driven(node: Arc<EntryNode>, job: Name, head: JobRecord) {
-    for _ in 0..STRIKES {
-        if node.peers.drive(&head.owner_address, &job).await == Some(true) {
+/// Asks the owner of a job that was just accepted to drive it, and takes the job over if the owner does not
+/// confirm.
+pub async fn ensure_driven(node: Arc<EntryNode>, job: Name, record: JobRecord) {
+    for _ in 0..MAX_FAILED_PROBES {
+        if node.peers.drive(&record.owner_address, &job).await == Some(true) {
             return;
         }
     }
-    logs::write(event::OWNER_SILENT, &[("job", &job), ("owner", &head.owner), ("strikes", &STRIKES)]);
+    logs::write(event::OWNER_SILENT, &[("job", &job), ("owner", &record.owner), ("strikes", &MAX_FAILED_PROBES)]);
     take_over(&node, &job).await;
-    unlist(&node, &head.owner).await;
+    unregister_node(&node, &record.owner).await;
 }
 
-/// Removes the row of a node that does not answer, if it is as it was last read. A VM that is gone for
-/// good would be given the next job of its model again and again, and each would wait for it; a
-/// node that lives, and was cut off or frozen, writes its row again when it hears of this.
-async fn unlist(node: &Arc<EntryNode>, name: &Name) {
+/// Removes the row of a node that does not respond, if the row has not changed since it was read. Otherwise the
+/// row of a lost VM would attract each next job of its model, and each would wait for a takeover. A node that was
+/// only cut off or suspended registers again when it learns of the removal.
+async fn unregister_node(node: &Arc<EntryNode>, name: &Name) {
     let Some(version) = node.peers.row_version(name) else { return };
     let transaction = RowTransaction::new(node_partition(name)).expect(tables::STATE, name, version);
     let call = StoreCall::Commit(transaction.remove(tables::STATE, name));
     let why = match node.store.call(&call).await {
         Ok(StoreReply::Committed(moment)) => {
             node.peers.put(name, moment.version, None);
-            "it does not answer".to_owned()
+            "it does not respond".to_owned()
         }
-        Ok(_) => "its row has changed and stays".to_owned(),
-        Err(error) => format!("its row may stay: {error}"),
+        Ok(_) => "its row has changed, so it was kept".to_owned(),
+        Err(error) => format!("its row may not have been removed: {error}"),
     };
     logs::write(event::NODE_UNLISTED, &[("node", name), ("why", &why)]);
 }
 
-/// Returns this node's place in the line of a job's successors.
-fn rank(node: &EntryNode, job: &Name, owner: &Name) -> usize {
+/// Returns this node's rank in the order of a job's successors, from 0.
+fn own_rank(node: &EntryNode, job: &Name, owner: &Name) -> usize {
     let mut others = node.peers.capacities();
     others.retain(|(name, _)| name != owner && node.levels.is_follower(name));
     successor_rank(job, (&node.settings.name, node.settings.capacity()), &others)
 }
 
-async fn is_due(node: &Arc<EntryNode>, job: &Name, view: &JobView, suspicion: &mut JobSuspicion) -> bool {
+/// Returns whether this node should take a job over now: its owner gave it up, was an earlier
+/// process of this node, does not drive it, or failed [`MAX_FAILED_PROBES`] probes. Probes the owner if a probe is
+/// due.
+async fn should_take_over(node: &Arc<EntryNode>, job: &Name, view: &JobView, probes: &mut OwnerProbes) -> bool {
     let now = node.now();
-    let head = &view.head;
-    if head.owner == node.settings.name {
-        return head.incarnation != node.incarnation;
+    let record = &view.head;
+    if record.owner == node.settings.name {
+        return record.incarnation != node.incarnation;
     }
-    let rank = rank(node, job, &head.owner);
-    let rank_time = RANK_TIME * u32::try_from(rank).unwrap_or(u32::MAX);
-    if head.owner.is_empty() {
-        let since = *suspicion.unclaimed_since.get_or_insert(now);
-        return now.since(since) >= rank_time;
+    let rank = own_rank(node, job, &record.owner);
+    let rank_delay = RANK_DELAY * u32::try_from(rank).unwrap_or(u32::MAX);
+    if record.owner.is_empty() {
+        let since = *probes.unclaimed_since.get_or_insert(now);
+        return now.since(since) >= rank_delay;
     }
-    suspicion.unclaimed_since = None;
-    let quiet_time = if rank < SUCCESSORS { QUIET_TIME } else { QUIET_TIME_OTHERS + rank_time };
-    let is_quiet = now.since(view.changed_at) >= quiet_time;
-    if !is_quiet || now.since(suspicion.asked_at) < ASK_INTERVAL {
+    probes.unclaimed_since = None;
+    let silence_limit =
+        if rank < FIRST_SUCCESSORS { SUCCESSOR_SILENCE_LIMIT } else { OTHERS_SILENCE_LIMIT + rank_delay };
+    let is_past_limit = now.since(view.changed_at) >= silence_limit;
+    if !is_past_limit || now.since(probes.probed_at) < PROBE_INTERVAL {
         return false;
     }
-    suspicion.asked_at = now;
-    match node.peers.drives(&head.owner_address, job).await {
+    probes.probed_at = now;
+    match node.peers.drives(&record.owner_address, job).await {
         Some(true) => {
-            suspicion.strikes = 0;
+            probes.failed_probes = 0;
             false
         }
         Some(false) => true,
         None => {
-            suspicion.strikes += 1;
-            logs::write(event::OWNER_SILENT, &[("job", job), ("owner", &head.owner), ("strikes", &suspicion.strikes)]);
-            suspicion.strikes >= STRIKES
+            probes.failed_probes += 1;
+            logs::write(
+                event::OWNER_SILENT,
+                &[("job", job), ("owner", &record.owner), ("strikes", &probes.failed_probes)],
+            );
+            probes.failed_probes >= MAX_FAILED_PROBES
         }
     }
 }
 
-/// Takes a job over, on condition that its head is as it was read just now.
+/// Takes a job over if its record has not changed since it was read, and logs why not otherwise.
 async fn take_over(node: &Arc<EntryNode>, job: &Name) {
     let why = match try_take_over(node, job).await {
         Ok(true) => return,
-        Ok(false) => "the job is ended or has another owner".to_owned(),
+        Ok(false) => "the job has ended or has another owner".to_owned(),
         Err(error) => error.to_string(),
     };
     logs::write(event::JOB_NOT_TAKEN, &[("job", job), ("why", &why)]);
 }
 
 async fn try_take_over(node: &Arc<EntryNode>, job: &Name) -> Result<bool, StoreError> {
-    let seen = node.job(job).ok_or(StoreError::Unknown)?;
-    let (held, version, is_ended) = read_head(node, job).await?;
+    let known = node.job(job).ok_or(StoreError::Unknown)?;
+    let (stored, version, is_ended) = read_record(node, job).await?;
     if is_ended {
         node.learn_end(job);
         return Ok(false);
     }
-    if held.fence != seen.head.fence || held.owner != seen.head.owner {
-        node.learn_head(held, version, job);
+    if stored.fence != known.head.fence || stored.owner != known.head.owner {
+        node.learn_head(stored, version, job);
         return Ok(false);
     }
-    let spec = Arc::new(job_calls::load_spec(node, job, &held).await?);
-    let head = JobRecord {
+    let spec = Arc::new(job_calls::load_spec(node, job, &stored).await?);
+    let record = JobRecord {
         owner: node.settings.name.clone(),
         owner_address: node.settings.peer_listen.clone(),
         incarnation: node.incarnation,
-        fence: held.fence + 1,
+        fence: stored.fence + 1,
         write_id: node.write_id(),
-        ..held.clone()
+        ..stored.clone()
     };
     let transaction = RowTransaction::new(job.clone()).expect(tables::STATE, tables::HEAD, version).put(
         tables::STATE,
         tables::HEAD,
-        tables::encode(&head),
+        tables::encode(&record),
     );
     match node.store.call(&StoreCall::Commit(transaction)).await? {
         StoreReply::Committed(moment) => {
             let fields: [(&str, &dyn std::fmt::Display); 4] =
-                [("job", job), ("from", &held.owner), ("fence", &head.fence), ("listed", &head.recorded)];
+                [("job", job), ("from", &stored.owner), ("fence", &record.fence), ("listed", &record.recorded)];
             logs::write(event::JOB_TAKEN, &fields);
-            node.learn_head(head.clone(), moment.version, job);
-            job_driver::start(node, spec, head, moment.version);
+            node.learn_head(record.clone(), moment.version, job);
+            job_driver::start(node, spec, record, moment.version);
             Ok(true)
         }
         StoreReply::Conflict(_) => Ok(false),
--- a/crates/trestlerackd/src/entry/job_texts.rs
+++ b/crates/trestlerackd/src/entry/job_texts.rs
@@ -1,8 +1,8 @@
-//! Stores the texts of a job that have no result yet, and finds those that earlier drivers left.
+//! Stores the unfinished texts of a job, and loads those that earlier drivers stored.
 
 use super::job_calls::load_results;
 use super::job_driver::JobDriver;
-use super::job_records::{WRITE_PAUSE, commit_head};
+use super::job_records::{RECORD_RETRY_DELAY, commit_record};
 use super::node::{EntryNode, JobView};
 use super::tables;
 use crate::process::clock;
@@ -19,54 +19,56 @@
 use trestlerack::version::WeightVersion;
 use trestlerack::{Name, event};
 
-/// Ended jobs of the same model whose unfinished texts are looked through.
-const KEPT_JOBS: usize = 3;
+/// Largest number of ended jobs of the same model whose unfinished texts are loaded.
+const MAX_CHECKPOINT_JOBS: usize = 3;
 
-/// Interval at which new text is stored; what a lost node had made since then is made again.
+/// Interval at which new text is stored; text that a crashed node generated after its last write is generated
+/// again.
 const TEXT_LOG_INTERVAL: Duration = Duration::from_millis(700);
 
-/// New events of a text from which they are stored. A takeover makes fewer again in a third of a second
-/// at 40 ms an event, and a row for each event would be a write for each.
-const TEXT_LOG_EVENTS: u64 = 8;
+/// Smallest number of new events of a text that are stored. At 40 ms an event, a takeover regenerates fewer than
+/// that within a third of a second, while storing each event would take a write for each.
+const TEXT_LOG_MIN_EVENTS: u64 = 8;
 
-/// Collects what was recorded of the job, and texts that earlier jobs left.
+/// Loads the recorded results of a job and the checkpoints that earlier drivers and jobs stored.
 pub async fn load_state(
     node: &Arc<EntryNode>,
     spec: &Arc<JobSpec>,
-    head: &JobRecord,
+    record: &JobRecord,
     settings: TrackerSettings,
 ) -> Result<JobTracker, StoreError> {
-    let mut listed: Vec<JobResult> = Vec::new();
-    while listed.len() < head.recorded {
-        let page = load_results(node, &spec.id, listed.len()).await?;
+    let mut recorded: Vec<JobResult> = Vec::new();
+    while recorded.len() < record.recorded {
+        let page = load_results(node, &spec.id, recorded.len()).await?;
         if page.is_empty() {
             return Err(StoreError::Unknown);
         }
-        listed.extend(page);
+        recorded.extend(page);
     }
-    let mut kept: HashMap<Name, ItemCheckpoint> = HashMap::new();
-    for job in earlier_jobs(node, spec, head) {
+    let mut checkpoints: HashMap<Name, ItemCheckpoint> = HashMap::new();
+    for job in checkpoint_sources(node, spec, record) {
         let first = if job == spec.id { tables::KEPT_LOG } else { tables::KEPT_END };
-        // Kept texts only save time, so a job starts without them rather than late.
+        // Checkpoints only save time, so a failed read does not delay the job.
         match tables::read_from(&node.store, tables::KEPT, &job, first).await {
-            Ok(rows) => merge_kept(&mut kept, rows, spec.min_version),
+            Ok(rows) => merge_checkpoints(&mut checkpoints, rows, spec.min_version),
             Err(error) => logs::write(event::TEXTS_LOST, &[("job", &job), ("why", &error)]),
         }
     }
-    let count = kept.len();
+    let count = checkpoints.len();
     if count > 0 {
         logs::write(event::TEXTS_FOUND, &[("job", &spec.id), ("items", &count)]);
     }
-    Ok(JobTracker::new(spec.clone(), settings, listed, kept))
+    Ok(JobTracker::new(spec.clone(), settings, recorded, checkpoints))
 }
 
-/// Returns the job itself and the newest ended jobs of the same model and customer, newest first.
-fn earlier_jobs(node: &EntryNode, spec: &JobSpec, head: &JobRecord) -> Vec<Name> {
+/// Returns the jobs whose checkpoints are loaded: the job itself if it had another driver, then the newest ended
+/// jobs of the same model, host and customer, newest first.
+fn checkpoint_sources(node: &EntryNode, spec: &JobSpec, record: &JobRecord) -> Vec<Name> {
     let jobs = node.jobs.lock().unwrap();
-    // The texts of one customer never go into a result of another one, whatever its items are called.
+    // Texts of one customer never become part of another customer's results, even if item ids are equal.
     let is_related = |id: &Name, view: &&JobView| {
-        let held = &view.head;
-        let is_same = held.model == spec.model && held.host == spec.host && held.customer == head.customer;
+        let known = &view.head;
+        let is_same = known.model == spec.model && known.host == spec.host && known.customer == record.customer;
         view.is_ended && *id != spec.id && is_same
     };
     let mut related: Vec<(u64, Name)> = jobs
@@ -75,33 +77,38 @@
         .map(|(id, view)| (view.head.accepted_ms, id.clone()))
         .collect();
     related.sort_by(|left, right| right.cmp(left));
-    related.truncate(KEPT_JOBS);
-    let own = (head.fence > 1).then(|| spec.id.clone());
+    related.truncate(MAX_CHECKPOINT_JOBS);
+    let own = (record.fence > 1).then(|| spec.id.clone());
     own.into_iter().chain(related.into_iter().map(|(_, id)| id)).collect()
 }
 
-/// Adds kept texts, the longest of each item; rows of several owners of one job may lie there.
-fn merge_kept(kept: &mut HashMap<Name, ItemCheckpoint>, rows: Vec<StoredRow>, min_version: WeightVersion) {
-    let mut logged: HashMap<Name, ItemTranscript> = HashMap::new();
+/// Merges stored checkpoints and keeps the longest text of each item, since several owners of one job may have
+/// stored rows.
+fn merge_checkpoints(
+    checkpoints: &mut HashMap<Name, ItemCheckpoint>,
+    rows: Vec<StoredRow>,
+    min_version: WeightVersion,
+) {
+    let mut transcripts: HashMap<Name, ItemTranscript> = HashMap::new();
     for (key, content) in tables::join_pieces(rows) {
         let merged = if key.starts_with(tables::KEPT_LOG) {
-            tables::decode(&content).map(|deltas| join_deltas(&mut logged, deltas))
+            tables::decode(&content).map(|deltas| join_deltas(&mut transcripts, deltas))
         } else {
             let items = tables::decode::<Vec<ItemCheckpoint>>(&content);
-            items.map(|items| items.into_iter().for_each(|item| keep_longer(kept, item, min_version)))
+            items.map(|items| items.into_iter().for_each(|item| keep_longest(checkpoints, item, min_version)))
         };
         if let Err(error) = merged {
             logs::write(event::ROW_REFUSED, &[("key", &key), ("why", &error)]);
         }
     }
-    for (id, transcript) in logged {
-        keep_longer(kept, ItemCheckpoint { id, transcript, is_complete: false }, min_version);
+    for (id, transcript) in transcripts {
+        keep_longest(checkpoints, ItemCheckpoint { id, transcript, is_complete: false }, min_version);
     }
 }
 
-fn join_deltas(logged: &mut HashMap<Name, ItemTranscript>, deltas: Vec<TextDelta>) {
+fn join_deltas(transcripts: &mut HashMap<Name, ItemTranscript>, deltas: Vec<TextDelta>) {
     for delta in deltas {
-        let transcript = logged.entry(delta.id.clone()).or_default();
+        let transcript = transcripts.entry(delta.id.clone()).or_default();
         if delta.after.is_none() {
             *transcript = ItemTranscript::default();
         }
@@ -109,27 +116,27 @@
     }
 }
 
-/// Keeps the longest text whose versions fit. An item without one is kept too: that it was in an
-/// earlier job says that the client waits for its group.
-fn keep_longer(kept: &mut HashMap<Name, ItemCheckpoint>, item: ItemCheckpoint, min_version: WeightVersion) {
+/// Keeps the longest text whose weight versions are recent enough. An item without one is kept too, with an empty
+/// text: its presence in an earlier job shows that the client waits for its group.
+fn keep_longest(checkpoints: &mut HashMap<Name, ItemCheckpoint>, item: ItemCheckpoint, min_version: WeightVersion) {
     let item = match item.transcript.fits(min_version) {
         true => item,
         false => ItemCheckpoint { transcript: ItemTranscript::default(), is_complete: false, ..item },
     };
-    let is_longer = kept.get(&item.id).is_none_or(|held| {
-        (held.is_complete, held.transcript.last_event) < (item.is_complete, item.transcript.last_event)
+    let is_longer = checkpoints.get(&item.id).is_none_or(|known| {
+        (known.is_complete, known.transcript.last_event) < (item.is_complete, item.transcript.last_event)
     });
     if is_longer {
-        kept.insert(item.id.clone(), item);
+        checkpoints.insert(item.id.clone(), item);
     }
 }
 
-/// Stores what is generated while the job is driven, so that whoever takes it over from a node
-/// that is lost goes on from there.
+/// Stores generated text while the job is driven, so that a node that takes the job over after a crash continues
+/// from there.
 pub async fn log_texts(node: Arc<EntryNode>, driver: Arc<JobDriver>, fence: u64) {
     for number in 0.. {
         clock::sleep(TEXT_LOG_INTERVAL).await;
-        let deltas = driver.ledger.lock().unwrap().take_unstored(TEXT_LOG_EVENTS, tables::COMMIT_BYTES / 2);
+        let deltas = driver.tracker.lock().unwrap().take_unstored(TEXT_LOG_MIN_EVENTS, tables::COMMIT_BYTES / 2);
         if deltas.is_empty() {
             continue;
         }
@@ -138,22 +145,22 @@
         let content = tables::encode(&deltas);
         let transaction = tables::put_pieces(transaction, tables::KEPT, &key, &content, node.settings.store_row_bytes);
         let call = StoreCall::Commit(transaction);
-        // Later deltas go on where this one ends, so it is written before them, however long it takes.
+        // Later deltas continue this one, so it is retried until it is stored.
         let mut failures = 0;
         while let Err(error) = node.store.call(&call).await {
             failures += 1;
-            node.store.pause_after(error, failures, WRITE_PAUSE).await;
+            node.store.pause_after(error, failures, RECORD_RETRY_DELAY).await;
         }
     }
 }
 
-/// Keeps unfinished texts, and gives the job to another node where this one stops.
-pub async fn leave_job(node: &Arc<EntryNode>, driver: &Arc<JobDriver>, head: JobRecord, version: u64) {
-    let kept = driver.ledger.lock().unwrap().checkpoints();
+/// Stores unfinished texts as checkpoints. If this node stops, also gives up ownership of the job.
+pub async fn release_job(node: &Arc<EntryNode>, driver: &Arc<JobDriver>, record: JobRecord, version: u64) {
+    let checkpoints = driver.tracker.lock().unwrap().checkpoints();
     let job = &driver.spec.id;
-    let count = kept.len();
-    for (piece, batch) in in_batches(kept).into_iter().enumerate() {
-        let key = format!("{}-{:04}-{piece:04}", tables::KEPT_END, head.fence);
+    let count = checkpoints.len();
+    for (piece, batch) in split_batches(checkpoints).into_iter().enumerate() {
+        let key = format!("{}-{:04}-{piece:04}", tables::KEPT_END, record.fence);
         let content: Bytes = tables::encode(&batch);
         let transaction = RowTransaction::new(job.clone());
         let transaction = tables::put_pieces(transaction, tables::KEPT, &key, &content, node.settings.store_row_bytes);
@@ -163,21 +170,21 @@
     }
     logs::write(event::TEXTS_KEPT, &[("job", job), ("items", &count)]);
     if driver.is_handed_over() {
-        let next = JobRecord { owner: "".into(), write_id: node.write_id(), ..head };
+        let next_record = JobRecord { owner: "".into(), write_id: node.write_id(), ..record };
         let transaction = RowTransaction::new(job.clone()).expect(tables::STATE, tables::HEAD, version).put(
             tables::STATE,
             tables::HEAD,
-            tables::encode(&next),
+            tables::encode(&next_record),
         );
-        // A peer that notices this node's silence takes the job too, only later.
-        let _ = commit_head(node, driver, transaction, &next).await;
+        // An error is ignored: a peer that gets no response from this node takes the job over too, only later.
+        let _ = commit_record(node, driver, transaction, &next_record).await;
     }
 }
 
-/// Splits texts so that each batch fits a transaction.
-fn in_batches(kept: Vec<ItemCheckpoint>) -> Vec<Vec<ItemCheckpoint>> {
+/// Splits checkpoints into batches that each fit a transaction.
+fn split_batches(checkpoints: Vec<ItemCheckpoint>) -> Vec<Vec<ItemCheckpoint>> {
     let (mut batches, mut batch, mut bytes) = (Vec::new(), Vec::new(), 0);
-    for item in kept {
+    for item in checkpoints {
         bytes += item.transcript.text.len();
         batch.push(item);
         if bytes > tables::COMMIT_BYTES / 2 {
--- a/crates/trestlerackd/src/entry/retention.rs
+++ b/crates/trestlerackd/src/entry/retention.rs
@@ -1,4 +1,4 @@
-//! Removes the rows of old jobs, so that the store and the nodes' memory stay bounded.
+//! Removes the rows of expired jobs, which bounds the size of the store and the memory of the nodes.
 
 use super::node::EntryNode;
 use super::{job_calls, suspects, tables};
@@ -10,31 +10,31 @@
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall, StoreReply};
 use trestlerack::{Name, event};
 
-/// Interval between two looks for old jobs.
+/// Interval between two sweeps.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Looks after which old strikes are looked for too; they are kept for minutes.
-const LOOKS_FOR_STRIKES: u32 = 30;
+/// Number of sweeps after which one also removes old crash reports; those are kept for minutes.
+const SWEEPS_PER_SUSPECT_SWEEP: u32 = 30;
 
-/// Removes old jobs for as long as the process lives; only the holder of the order lease does, so
-/// that each row is removed once.
+/// Removes expired jobs until the process ends. Only the holder of the order lease does so, which avoids that
+/// several nodes remove the same rows.
 pub async fn sweep(node: Arc<EntryNode>) {
-    let mut looks: u32 = 0;
+    let mut sweeps: u32 = 0;
     loop {
         clock::sleep(SWEEP_INTERVAL).await;
         if !holds_lease(&node) {
             continue;
         }
-        looks += 1;
-        if looks.is_multiple_of(LOOKS_FOR_STRIKES)
+        sweeps += 1;
+        if sweeps.is_multiple_of(SWEEPS_PER_SUSPECT_SWEEP)
             && let Err(error) = suspects::sweep_rows(&node).await
         {
             logs::write(event::ROW_REFUSED, &[("key", &tables::SUSPECTS), ("why", &error)]);
         }
-        for job in old_jobs(&node) {
+        for job in expired_jobs(&node) {
             match remove_job(&node, &job).await {
                 Ok(()) => logs::write(event::JOB_REMOVED, &[("job", &job)]),
-                // The rows that are left are removed at a later look.
+                // A later sweep removes the remaining rows.
                 Err(error) => logs::write(event::ROW_REFUSED, &[("key", &job), ("why", &error)]),
             }
         }
@@ -46,20 +46,20 @@
     row.is_some_and(|row| row.holder == node.settings.name && row.incarnation == node.incarnation)
 }
 
-/// Returns the jobs that are over and were submitted long enough ago.
-fn old_jobs(node: &EntryNode) -> Vec<Name> {
+/// Returns the jobs that have ended or are complete, and whose retention time since their acceptance has passed.
+fn expired_jobs(node: &EntryNode) -> Vec<Name> {
     let clock_ms = node.store.clock_ms();
     let retention_ms = node.settings.retention_s * 1_000;
     let jobs = node.jobs.lock().unwrap();
-    let is_old = |view: &super::node::JobView| {
+    let is_expired = |view: &super::node::JobView| {
         let is_over = view.is_ended || view.head.is_complete();
         is_over && clock_ms.saturating_sub(view.head.accepted_ms) >= retention_ms
     };
-    jobs.iter().filter(|(_, view)| is_old(view)).map(|(id, _)| id.clone()).collect()
+    jobs.iter().filter(|(_, view)| is_expired(view)).map(|(id, _)| id.clone()).collect()
 }
 
-/// Removes a job's object and rows, its head last: while that is there, a node that stops in between leaves
-/// the rest to the next holder of the lease.
+/// Removes a job's object and rows. The record goes last: while it exists, the next lease holder can finish a
+/// removal that this node could not.
 async fn remove_job(node: &Arc<EntryNode>, job: &Name) -> Result<(), StoreError> {
     if let Some(view) = node.job(job).filter(|view| view.head.spec_rows == 0) {
         let name = job_calls::spec_object(job, view.head.digest);
--- a/crates/trestlerackd/src/entry/run_moves.rs
+++ b/crates/trestlerackd/src/entry/run_moves.rs
@@ -1,4 +1,4 @@
-//! Moves runs of items off slow engines.
+//! Moves runs of items from slow engines to faster ones.
 
 use super::job_driver::JobDriver;
 use super::node::EntryNode;
@@ -12,37 +12,38 @@
 use trestlerack::version::RequestRoute;
 use trestlerack::{Name, event};
 
-/// Shortest time on an engine before a run is moved, so that its pace is known.
-pub const MOVE_AGE: Duration = Duration::from_millis(600);
+/// Shortest time that a run stays on its engine before it may be moved, so that its pace is known.
+pub const MIN_MOVE_AGE: Duration = Duration::from_millis(600);
 
-/// Moves a run off an engine that is slower than another one with a free place: the connection is
-/// closed, which ends the work there, and the run goes on elsewhere. While items wait, only long
-/// runs move, and those that a step waits for last. One run at each look, because one free place takes
-/// one run only.
+/// Moves one run from a slow engine to a faster one with a free slot. Closing the connection ends the work at the
+/// slow engine, and the run continues on the other one. While items wait, only long runs and runs of a step's
+/// final groups move. Each check moves one run at most, because a free slot takes only one.
 pub fn move_slow_run(node: &Arc<EntryNode>, driver: &Arc<JobDriver>, route: &RequestRoute) {
     let now = node.now();
-    let (running, last) = {
-        let ledger = driver.ledger.lock().unwrap();
-        let has_waiting = ledger.waiting(now).next().is_some();
-        let last = ledger.final_groups();
-        let is_final = |index: usize| last.contains(&driver.spec.items[index].group);
-        let mut running: Vec<(usize, Name)> = ledger.running();
-        running.retain(|(index, _)| !has_waiting || ledger.is_long(*index) || is_final(*index));
-        (running, last)
+    let (running, final_groups) = {
+        let tracker = driver.tracker.lock().unwrap();
+        let has_waiting = tracker.waiting(now).next().is_some();
+        let final_groups = tracker.final_groups();
+        let is_final = |index: usize| final_groups.contains(&driver.spec.items[index].group);
+        let mut running: Vec<(usize, Name)> = tracker.running();
+        running.retain(|(index, _)| !has_waiting || tracker.is_long(*index) || is_final(*index));
+        (running, final_groups)
     };
-    let least = if last.is_empty() { MOVE_SLOWNESS } else { FINAL_MOVE_SLOWNESS };
-    let slow = slow_engines(node, route, &running, least);
+    let min_slowness = if final_groups.is_empty() { MOVE_SLOWNESS } else { FINAL_MOVE_SLOWNESS };
+    let slow = slow_engines(node, route, &running, min_slowness);
     for (index, engine) in running {
         if !slow.contains(&engine) || suspects::is_suspect(node, driver.fingerprints[index]) {
             continue;
         }
-        let Some((slowness, faster)) = worth_moving(node, driver, route, index, &engine, &last) else { continue };
-        let Some(run) = driver.take_run(now, index) else { continue };
+        let Some((slowness, faster)) = find_faster_engine(node, driver, route, index, &engine, &final_groups) else {
+            continue;
+        };
+        let Some(run) = driver.take_movable_run(now, index) else { continue };
         run.abort();
-        let mut ledger = driver.ledger.lock().unwrap();
-        ledger.end_run(now, index, RunEnd::Broken);
-        job_runs::start_run(node, driver, &mut ledger, index, faster);
-        drop(ledger);
+        let mut tracker = driver.tracker.lock().unwrap();
+        tracker.end_run(now, index, RunEnd::Broken);
+        job_runs::start_run(node, driver, &mut tracker, index, faster);
+        drop(tracker);
         let item = &driver.spec.items[index].id;
         let slowness = format!("{slowness:.1}");
         logs::write(event::RUN_MOVED, &[("item", item), ("engine", &engine), ("slowness", &slowness)]);
@@ -50,44 +51,44 @@
     }
 }
 
-/// Returns the engines of runs that are slow enough for another one to be worth a move. Most looks find
-/// none, and looking for a place for each run costs more.
-fn slow_engines(node: &EntryNode, route: &RequestRoute, running: &[(usize, Name)], least: f64) -> HashSet<Name> {
+/// Returns the engines of the runs that are slow enough for a move. Most checks find none, and this is cheaper
+/// than searching a free slot for each run.
+fn slow_engines(node: &EntryNode, route: &RequestRoute, running: &[(usize, Name)], min_slowness: f64) -> HashSet<Name> {
     let engines: HashSet<Name> = running.iter().map(|(_, engine)| engine.clone()).collect();
     let board = node.board.lock().unwrap();
     let services = route.shares.iter().map(|share| &share.service);
-    services.flat_map(|service| board.slow_among(node.now(), service, least, &engines)).collect()
+    services.flat_map(|service| board.slow_among(node.now(), service, min_slowness, &engines)).collect()
 }
 
-/// Returns how slow the engine of a run is and another one with a free place that is much faster.
-fn worth_moving(
+/// Returns the slowness of a run's engine and a much faster engine with a free slot, if a move is worthwhile.
+fn find_faster_engine(
     node: &EntryNode,
     driver: &JobDriver,
     route: &RequestRoute,
     index: usize,
     engine: &Name,
-    last: &HashSet<Name>,
+    final_groups: &HashSet<Name>,
 ) -> Option<(f64, ServerEntry)> {
     let (pinned, is_long, remaining_events) = {
-        let ledger = driver.ledger.lock().unwrap();
-        (ledger.pinned_version(index), ledger.is_long(index), ledger.remaining_events(index))
+        let tracker = driver.tracker.lock().unwrap();
+        (tracker.pinned_version(index), tracker.is_long(index), tracker.remaining_events(index))
     };
     let board = node.board.lock().unwrap();
     let now = node.now();
     let slowness = board.slowness(now, engine);
     let item = &driver.spec.items[index];
-    let is_final = last.contains(&item.group);
+    let is_final = final_groups.contains(&item.group);
     let model = driver.spec.model_of(item);
     let need = job_runs::item_need(node, driver, route, index, model.as_deref())?;
     let avoid = std::slice::from_ref(engine);
     let need = ServerNeed { pinned, is_long: is_long || is_final, avoid, ..need };
-    let other = board.choose(now, &need)?;
+    let target = board.choose(now, &need)?;
     let run_move = RunMove {
         slowness,
-        other_slowness: board.slowness(now, &other.entry.instance),
+        other_slowness: board.slowness(now, &target.entry.instance),
         event_gap: Duration::from_secs_f64(board.typical_pace(now, need.service) / 1_000.0),
         remaining_events,
         is_final,
     };
-    run_move.is_worth().then(|| (slowness, other.entry.clone()))
+    run_move.is_worth().then(|| (slowness, target.entry.clone()))
 }
--- a/crates/trestlerackd/src/entry/stop.rs
+++ b/crates/trestlerackd/src/entry/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop of an entry node: not ready, jobs handed over, then the end of every request.
+//! A planned stop of an entry node: it reports that it is not ready, hands its jobs over and lets requests finish.
 
 use super::node::EntryNode;
 use super::tables;
@@ -11,20 +11,21 @@
 use trestlerack::process::node_partition;
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall};
 
-/// Time between saying "not ready" and ending clients' connections: the platform asks once a
-/// second and sends new connections until two answers said so.
+/// Time between reporting not ready and closing clients' connections: the platform checks readiness once a second
+/// and sends new connections until two responses say that the node is not ready.
 const NOT_READY_TIME: Duration = Duration::from_millis(2_600);
 
-/// Time before the kill at which the process ends by itself.
+/// Time before the platform kills the process at which it exits by itself.
 const EXIT_MARGIN: Duration = Duration::from_millis(700);
 
-/// Interval between two looks at what is left.
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval between two checks of the remaining connections and jobs.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Stops as planned.
+/// Stops the node: hands its jobs over, removes its row, and waits until connections and jobs have ended, at most
+/// until [`EXIT_MARGIN`] before the limit.
 pub async fn stop_as_planned(node: &Arc<EntryNode>) {
     let started = node.now();
-    let limit = node.bounds().stop_limit.saturating_sub(EXIT_MARGIN);
+    let time_limit = node.bounds().stop_limit.saturating_sub(EXIT_MARGIN);
     let connections = || node.client_connections.load(Ordering::Relaxed);
     let jobs = || node.drivers.lock().unwrap().len();
     logs::write(event::STOP_BEGUN, &[("in_progress", &connections()), ("jobs", &jobs())]);
@@ -39,15 +40,15 @@
         logs::write(event::ROW_REFUSED, &[("key", &node.settings.name), ("why", &error)]);
     }
     while node.now().since(started) < NOT_READY_TIME {
-        clock::sleep(LOOK_INTERVAL).await;
+        clock::sleep(POLL_INTERVAL).await;
     }
     node.closing.send_replace(true);
-    while connections() + jobs() > 0 && node.now().since(started) < limit {
-        clock::sleep(LOOK_INTERVAL).await;
+    while connections() + jobs() > 0 && node.now().since(started) < time_limit {
+        clock::sleep(POLL_INTERVAL).await;
     }
-    let left = connections() + jobs();
-    if left > 0 {
-        logs::write(event::STOP_OVERRUN, &[("left", &left)]);
+    let remaining = connections() + jobs();
+    if remaining > 0 {
+        logs::write(event::STOP_OVERRUN, &[("left", &remaining)]);
     } else {
         logs::write(event::STOP_ENDED, &[("node", &node.settings.name)]);
     }
--- a/crates/trestlerackd/tests/drive_mode.rs
+++ b/crates/trestlerackd/tests/drive_mode.rs
@@ -1,4 +1,4 @@
-//! The texts that logs print for what a driver of a job is to do.
+//! Names of the modes of a job driver in logs.
 
 #[path = "../src/entry/drive_mode.rs"]
 mod drive_mode;
@@ -6,7 +6,7 @@
 use drive_mode::DriveMode;
 
 #[test]
-fn the_mode_of_a_driver_keeps_its_texts() {
+fn driver_modes_keep_their_log_names() {
     let modes = [DriveMode::Drive, DriveMode::End, DriveMode::HandOver, DriveMode::Lost];
     assert_eq!(modes.map(DriveMode::as_str), ["drive", "end", "handover", "lost"]);
 }
