--- a/crates/trestlerackd/src/entry/run_moves.rs
+++ b/crates/trestlerackd/src/entry/run_moves.rs
@@ -35,7 +35,7 @@
         if !slow.contains(&engine) || suspects::is_suspect(node, driver.fingerprints[index]) {
             continue;
         }
-        let Some((slowness, faster)) = find_faster_engine(node, driver, route, index, &engine, &final_groups) else {
+        let Some((slowness, faster)) = faster_engine(node, driver, route, index, &engine, &final_groups) else {
             continue;
         };
         let Some(run) = driver.take_movable_run(now, index) else { continue };
@@ -61,7 +61,7 @@
 }
 
 /// Returns the slowness of a run's engine and a much faster engine with a free slot, if a move is worthwhile.
-fn find_faster_engine(
+fn faster_engine(
     node: &EntryNode,
     driver: &JobDriver,
     route: &RequestRoute,
--- a/crates/trestlerackd/tests/entry/jobs.rs
+++ b/crates/trestlerackd/tests/entry/jobs.rs
@@ -1,4 +1,4 @@
-//! Batch jobs: accepted once, finished by whoever is left, read at lasting positions.
+//! Batch jobs: accepted exactly once, finished also after node failures, read at stable positions.
 
 use super::support::*;
 use serde_json::json;
@@ -7,7 +7,7 @@
 use trestlerack::process::node_partition;
 
 #[test]
-fn a_job_is_accepted_once_and_read_scored_at_lasting_positions() {
+fn a_job_is_accepted_once_and_its_scored_results_keep_their_positions() {
     let platform = Platform::start();
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
     let other = EntryDaemon::start("b", &platform.store, &[&daemon.peer]);
@@ -30,9 +30,10 @@
     assert_eq!(call(&daemon.client, "GET", "/trestlerack/lots/none?after=0", &[], "").unwrap().status, 404);
 }
 
-/// Only a server's own failure counts against an item. One that ran out of time is another matter.
+/// Only a server's own failure counts against an item. A server that runs out of time must not use up its
+/// attempts.
 #[test]
-fn answers_of_servers_that_ran_out_of_time_do_not_give_an_item_up() {
+fn server_timeouts_do_not_count_as_failures_of_an_item() {
     let platform = Platform::start();
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
     platform.plain.overdue_answers.store(8, Ordering::SeqCst);
@@ -43,8 +44,8 @@
     }
 }
 
-/// A score call may take as long as its route allows: it goes on beside a second one, and neither
-/// is cut and sent again and again.
+/// Guards against score calls that are cancelled and sent again although their route allows them more time: a slow
+/// call continues, with at most one hedged call.
 #[test]
 fn score_calls_may_take_as_long_as_their_route_allows() {
     let platform = Platform::start();
@@ -59,35 +60,35 @@
 }
 
 #[test]
-fn a_scoring_server_that_falls_silent_delays_a_score_by_a_moment_only() {
+fn a_scoring_server_that_stops_responding_delays_a_score_only_briefly() {
     let platform = Platform::start();
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
     platform.plain.silent_answers.store(1, Ordering::SeqCst);
-    let begun = Instant::now();
+    let started = Instant::now();
     assert_eq!(submit(&daemon, "job1", 2), 202);
     assert_eq!(read_all(&daemon, "job1", 2).len(), 2);
-    assert!(begun.elapsed() < Duration::from_secs(2), "{:?}", begun.elapsed());
+    assert!(started.elapsed() < Duration::from_secs(2), "{:?}", started.elapsed());
 }
 
-/// The scorer's route states no target latency, and its servers are silent. The node waits for them
-/// without using its processor.
+/// Guards against busy waiting: the scorer's route sets no target latency and its servers do not respond, and the
+/// node must wait for them without using CPU time.
 #[test]
-fn score_calls_of_a_route_without_a_target_wait_in_peace() {
+fn waiting_score_calls_of_a_route_without_target_latency_use_little_cpu() {
     let platform = Platform::start_behind(4, |address| address.to_string());
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
-    // Processor time is dearer beside other work, for a node without a job as well.
-    let used_in_two_seconds = || {
+    // Other load on the machine raises CPU time, so the node is also measured without a job.
+    let cpu_in_two_seconds = || {
         let before = daemon.cpu_time();
         std::thread::sleep(Duration::from_secs(2));
         daemon.cpu_time() - before
     };
-    let idle = used_in_two_seconds();
+    let idle_cpu = cpu_in_two_seconds();
     platform.plain.silent_answers.store(16, Ordering::SeqCst);
     let body = job_body_of("job1", 8, 1).replace("/safe/score", "/untimed/score");
     assert_eq!(call(&daemon.client, "POST", "/jobs/job1", &[("request-id", "job1")], &body).unwrap().status, 202);
     eventually("two servers were asked for each item", || platform.plain.runs.lock().unwrap().len() == 16);
-    let used = used_in_two_seconds();
-    assert!(used < idle + Duration::from_millis(90), "{used:?} of two seconds, {idle:?} without a job");
+    let job_cpu = cpu_in_two_seconds();
+    assert!(job_cpu < idle_cpu + Duration::from_millis(90), "{job_cpu:?} of two seconds, {idle_cpu:?} without a job");
     assert_eq!(read_all(&daemon, "job1", 8).len(), 8);
 }
 
@@ -102,10 +103,10 @@
     }
 }
 
-/// A submission of more bytes than rows are meant for lies in an object. The one of a refused
-/// submission stays, and must not be taken for that of another one with the same id.
+/// A submission that is too large for rows is stored in an object. The object of a refused submission stays and
+/// must not be read as that of a later one with the same id.
 #[test]
-fn a_large_job_lies_in_an_object_that_goes_with_it() {
+fn a_large_job_is_stored_in_an_object_that_is_removed_with_it() {
     let platform = Platform::start();
     let (mut daemon, other) = {
         let daemon = EntryDaemon::start("a", &platform.store, &[]);
@@ -138,7 +139,7 @@
     assert_eq!(submit(&daemon, "job1", 8), 202);
     let mut results = 0;
     let mut pages = 0;
-    eventually("all results are listed", || {
+    eventually("all results are recorded", || {
         let answer = call(&daemon.client, "GET", "/trestlerack/lots/job1?after=7", &[("wait-ms", "500")], "").unwrap();
         !answer.json()["results"].as_array().unwrap().is_empty()
     });
@@ -164,49 +165,49 @@
     assert_eq!(platform.store.count("state", "bad"), 0);
 }
 
-/// Two engines have four places each. A second run on the newest weights takes one of them while
-/// nobody needs it, and gives it back to a job whose items wait.
+/// Two engines have four slots each. A speculative run on the newest weights uses one of them while no item needs
+/// it, and must free it for a job whose items wait.
 #[test]
-fn a_second_run_gives_its_place_to_an_item_that_waits() {
+fn a_speculative_run_is_cancelled_for_a_waiting_item() {
     let platform = Platform::start();
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
-    // An engine whose pace is not known yet is left after 1.6 s without an event.
+    // A run on an engine whose pace is not known yet is cancelled after 1.6 s without an event.
     platform.engine.pace_ms.store(1_200, Ordering::SeqCst);
     let runs_of = |job: &str| platform.engine.runs.lock().unwrap().iter().filter(|run| run.starts_with(job)).count();
     assert_eq!(submit(&daemon, "job1", 2), 202);
     eventually("its items run", || runs_of("job1") == 2);
-    // A text whose first event the old weights made is of no use to a job that needs the new ones.
+    // The primary runs get their first event from the old weights, so a job that needs new ones cannot use them.
     std::thread::sleep(Duration::from_millis(1_400));
     platform.name_version(2);
     eventually("one of them runs a second time", || runs_of("job1") == 3);
     assert_eq!(submit(&daemon, "job2", 8), 202);
-    eventually("all places but two are taken by the new job", || runs_of("job2") == 6);
-    assert_eq!(platform.engine.last_runs.lock().unwrap().len(), 8, "no item ran out before");
+    eventually("the new job uses all slots but two", || runs_of("job2") == 6);
+    assert_eq!(platform.engine.last_runs.lock().unwrap().len(), 8, "no item completed before");
     assert_eq!(runs_of("job1"), 3);
 }
 
-/// Guards against a later job that reuses every place its own runs free while an earlier job of the same
+/// Guards against a later job that reuses every slot its own runs free while an earlier job of the same
 /// model waits.
 #[test]
-fn an_earlier_job_of_a_model_gets_free_places_first() {
-    const PLACES: usize = 8;
+fn an_earlier_job_of_a_model_gets_free_slots_first() {
+    const SLOTS: usize = 8;
     let platform = Platform::start();
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
     platform.engine.pace_ms.store(200, Ordering::SeqCst);
     let runs = || platform.engine.runs.lock().unwrap().clone();
-    // The earlier job requires version 2, which no engine has yet, so the later job fills all places.
-    let body = job_body_of("earlier", PLACES, 2);
+    // The earlier job requires version 2, which no engine has yet, so the later job fills all slots.
+    let body = job_body_of("earlier", SLOTS, 2);
     assert_eq!(call(&daemon.client, "POST", "/jobs/earlier", &[("request-id", "earlier")], &body).unwrap().status, 202);
-    assert_eq!(submit(&daemon, "later", 3 * PLACES), 202);
-    eventually("the later job occupies all places", || runs().len() == PLACES);
+    assert_eq!(submit(&daemon, "later", 3 * SLOTS), 202);
+    eventually("the later job occupies all slots", || runs().len() == SLOTS);
     platform.name_version(2);
     eventually("both engines accept a load order", || platform.engine.orders.lock().unwrap().len() == 2);
-    assert_eq!(runs().len(), PLACES, "no further run has started");
-    read_all(&daemon, "earlier", PLACES);
+    assert_eq!(runs().len(), SLOTS, "no further run has started");
+    read_all(&daemon, "earlier", SLOTS);
     let runs = runs();
     let last_earlier = runs.iter().rposition(|run| run.starts_with("earlier")).unwrap();
     let later_runs = runs[..last_earlier].iter().filter(|run| run.starts_with("later")).count();
-    assert_eq!(later_runs, PLACES, "{runs:?}");
+    assert_eq!(later_runs, SLOTS, "{runs:?}");
 }
 
 #[test]
@@ -230,26 +231,26 @@
     std::fs::remove_file(&log).unwrap();
 }
 
-/// A VM that is gone for good drove the newest job of a model, and its row is still there. One job
-/// waits for it, no further one does.
+/// A VM that was lost drove the newest job of a model, and its row still exists. Guards against assigning each
+/// next job of the model to it: after the first takeover its row is removed.
 #[test]
-fn no_more_jobs_are_given_to_a_node_that_does_not_answer() {
+fn no_more_jobs_are_assigned_to_a_node_that_does_not_respond() {
     let platform = Platform::start();
-    let mut gone = EntryDaemon::start("gone", &platform.store, &[]);
-    let other = EntryDaemon::start("b", &platform.store, &[&gone.peer]);
+    let mut killed = EntryDaemon::start("gone", &platform.store, &[]);
+    let other = EntryDaemon::start("b", &platform.store, &[&killed.peer]);
     let rows = || platform.store.count("state", &node_partition("gone"));
     eventually("it is registered", || rows() == 1);
-    assert_eq!(submit(&gone, "job1", 2), 202);
-    assert_eq!(read_all(&gone, "job1", 2).len(), 2);
-    gone.signal("-KILL");
-    gone.wait_end();
+    assert_eq!(submit(&killed, "job1", 2), 202);
+    assert_eq!(read_all(&killed, "job1", 2).len(), 2);
+    killed.signal("-KILL");
+    killed.wait_end();
     assert_eq!(submit(&other, "job2", 2), 202);
     assert_eq!(read_all(&other, "job2", 2).len(), 2);
     eventually("its row is removed", || rows() == 0);
 }
 
 #[test]
-fn a_node_that_was_taken_for_gone_registers_again() {
+fn a_suspended_node_that_was_unregistered_registers_again() {
     let platform = Platform::start();
     let frozen = EntryDaemon::start("frozen", &platform.store, &[]);
     let other = EntryDaemon::start("b", &platform.store, &[&frozen.peer]);
@@ -257,7 +258,7 @@
     eventually("it is registered", || rows() == 1);
     assert_eq!(submit(&frozen, "job1", 2), 202);
     assert_eq!(read_all(&frozen, "job1", 2).len(), 2);
-    // The other node names the driver of the last job only once it has heard of that job.
+    // The other node must know the last job before it assigns the next one to the same driver.
     assert_eq!(read_all(&other, "job1", 2).len(), 2);
     frozen.signal("-STOP");
     assert_eq!(submit(&other, "job2", 2), 202);
@@ -269,7 +270,7 @@
 }
 
 #[test]
-fn a_refused_job_was_not_stored_and_a_lost_reply_is_no_refusal() {
+fn a_refused_job_is_not_stored_and_a_lost_reply_does_not_refuse_one() {
     let platform = Platform::start();
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
     platform.store.refuse_writes(true);
@@ -304,7 +305,7 @@
 }
 
 #[test]
-fn a_stopping_node_hands_its_job_over_with_its_texts_and_ends_by_itself() {
+fn a_stopping_node_hands_its_job_over_with_its_texts_and_exits_by_itself() {
     let platform = Platform::start();
     let (mut daemon, other) = two_daemons_with_a_running_job(&platform);
     std::thread::sleep(Duration::from_millis(750));
@@ -317,11 +318,11 @@
     assert!(daemon.wait_end());
     assert_eq!(read_all(&other, "job1", 4).len(), 4);
     let runs = platform.engine.runs.lock().unwrap();
-    assert!(runs[4..].iter().all(|run| !run.ends_with("@1")), "texts go on where they were: {runs:?}");
+    assert!(runs[4..].iter().all(|run| !run.ends_with("@1")), "runs continue from the stored text: {runs:?}");
 }
 
 #[test]
-fn the_rows_of_an_old_job_are_removed_and_those_of_an_open_one_stay() {
+fn the_rows_of_an_expired_job_are_removed_and_those_of_an_open_one_stay() {
     let platform = Platform::start();
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
     platform.engine.pace_ms.store(4_000, Ordering::SeqCst);
@@ -331,30 +332,30 @@
     let rows = |job: &str| ["state", "specs"].map(|table| platform.store.count(table, job));
     assert!(rows("over").iter().all(|count| *count > 0));
     eventually("its rows are removed", || rows("over") == [0, 0]);
-    assert!(rows("open").iter().all(|count| *count > 0), "it is not over");
+    assert!(rows("open").iter().all(|count| *count > 0), "the job is still open");
     let answer = call(&daemon.client, "GET", "/trestlerack/lots/over?after=0", &[], "").unwrap();
     assert_eq!(answer.status, 404);
 }
 
-/// The store takes nothing while a node that drives a job stops: it must end in time all the same,
-/// and the job is finished by another node once the store is back.
+/// The store refuses writes while a node that drives a job stops. The node must still exit in time, and another
+/// node finishes the job once the store accepts writes.
 #[test]
 fn a_stop_during_an_outage_of_the_store_ends_in_time_and_loses_no_job() {
     let platform = Platform::start();
     let (mut daemon, other) = two_daemons_with_a_running_job(&platform);
     platform.store.refuse_writes(true);
-    let begun = Instant::now();
+    let started = Instant::now();
     daemon.signal("-TERM");
     let answer = call(&daemon.client, "POST", "/safe/x", &[("request-id", "r1")], "late").unwrap();
     assert_eq!(answer.status, 200);
     assert!(daemon.wait_end());
-    assert!(begun.elapsed() < STOP_LIMIT, "{:?}", begun.elapsed());
+    assert!(started.elapsed() < STOP_LIMIT, "{:?}", started.elapsed());
     platform.store.refuse_writes(false);
     assert_eq!(read_all(&other, "job1", 4).len(), 4);
 }
 
 #[test]
-fn a_lost_history_leads_to_reads_of_what_may_still_change() {
+fn a_lost_watch_history_leads_to_reads_of_open_jobs_only() {
     let platform = Platform::start();
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
     platform.engine.pace_ms.store(2_000, Ordering::SeqCst);
@@ -364,7 +365,7 @@
     std::thread::sleep(Duration::from_millis(200));
     let nodes = node_partition(&daemon.name);
     let before = [&*nodes, "open", "over"].map(|partition| platform.store.reads(partition));
-    // Rows change while the watch is silent, since the lease is renewed.
+    // Rows change while the watch reports nothing, since the lease is renewed.
     platform.store.silence_watches(Some("state"));
     std::thread::sleep(Duration::from_secs(1));
     platform.store.drop_history();
@@ -373,13 +374,13 @@
         platform.store.reads(&nodes) > before[0] && platform.store.reads("open") > before[1]
     });
     std::thread::sleep(Duration::from_millis(300));
-    assert_eq!(platform.store.reads("over"), before[2], "a job that is over changes no more");
+    assert_eq!(platform.store.reads("over"), before[2], "an ended job is not read again");
 }
 
-/// Results may be recorded around the end of a job without a node hearing of them. One that knows of
-/// the end and missed them must not answer that there are none.
+/// Results may be recorded around the end of a job while a node's watch reports nothing. A node that knows of the
+/// end but missed the results must not answer that there are none.
 #[test]
-fn results_that_a_node_missed_are_read_after_the_end_of_their_job_and_a_lost_history() {
+fn results_that_a_node_missed_are_read_after_job_end_and_lost_history() {
     let platform = Platform::start();
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
     let other = EntryDaemon::start("b", &platform.store, &[&daemon.peer]);
@@ -400,9 +401,10 @@
     assert_eq!(page["results"].as_array().unwrap().len(), 4, "{page}");
 }
 
-/// The owner's watch hears nothing of the end of its job, which another node was told.
+/// The owner's watch does not report the end of its job, which a client sent to another node. The owner must
+/// still start no more items.
 #[test]
-fn the_owner_of_a_job_hears_of_its_end_from_the_node_that_was_told() {
+fn the_owner_of_a_job_is_notified_of_its_end_by_the_node_that_stored_it() {
     let platform = Platform::start();
     let owner = EntryDaemon::start("a", &platform.store, &[]);
     let other = EntryDaemon::start("b", &platform.store, &[&owner.peer]);
@@ -420,7 +422,8 @@
     platform.store.silence_watches(None);
 }
 
-/// News of an end that comes between the rows that a successor read and its first look at the job.
+/// The job ends after a successor has read its rows and before it first checks the job. The successor must start
+/// no items.
 #[test]
 fn a_job_that_ends_while_it_is_taken_over_runs_nothing_afterwards() {
     let platform = Platform::start();
@@ -441,9 +444,9 @@
     assert_eq!(runs(), before, "an item ran after the end of its job");
 }
 
-/// A client that reads a job at one node goes on at another, whose watch brings no news.
+/// A client that has read results at one node must get them from another one, too, whose watch reports nothing.
 #[test]
-fn results_that_were_read_at_one_node_are_there_at_another_whose_watch_is_behind() {
+fn results_read_at_one_node_are_served_by_another_whose_watch_lags() {
     let platform = Platform::start();
     let first = EntryDaemon::start("a", &platform.store, &[]);
     let second = EntryDaemon::start("b", &platform.store, &[&first.peer]);
@@ -454,8 +457,8 @@
             .is_some_and(|answer| answer.status == 200)
     });
     platform.store.silence_watches(Some("state"));
-    let by_store = |job: &str| platform.store.count("results", job);
-    eventually("results are recorded", || by_store("job1") == 4);
+    let stored_results = |job: &str| platform.store.count("results", job);
+    eventually("results are recorded", || stored_results("job1") == 4);
     for headers in [&[][..], &[("wait-ms", "300")]] {
         let answer = call(&second.client, "GET", "/trestlerack/lots/job1?after=0", headers, "").unwrap();
         assert_eq!((answer.status, &answer.json()["next"]), (200, &json!(4)), "{headers:?}");
--- a/crates/trestlerackd/tests/entry/soak/fatal.rs
+++ b/crates/trestlerackd/tests/entry/soak/fatal.rs
@@ -82,7 +82,7 @@
 pub fn fatal_is_held(world: &World) {
     std::thread::sleep(SETTLE_TIME);
     for content in 0..FATAL_CONTENTS {
-        let (body, ended) = (fatal_body(content), world.fragile.ended());
+        let (body, ended) = (fatal_body(content), world.fragile.crash_count());
         let mut holding = vec![false; world.nodes.len()];
         for arrival in 0..LAST_ARRIVALS {
             let node = arrival % world.nodes.len();
@@ -91,7 +91,7 @@
                 std::thread::sleep(ARRIVAL_PAUSE);
             }
         }
-        let ended = world.fragile.ended() - ended;
+        let ended = world.fragile.crash_count() - ended;
         if ended > MOST_LAST_ENDS || holding.contains(&false) {
             world.violation(format!("content {content} ended {ended} servers in calm, held by nodes: {holding:?}"));
         }
--- a/crates/trestlerackd/tests/entry/support/crashing.rs
+++ b/crates/trestlerackd/tests/entry/support/crashing.rs
@@ -1,4 +1,4 @@
-//! Backend servers that end when they run certain requests, and come back as new instances.
+//! Backend servers that crash when they run certain requests, and restart as new instances.
 
 use super::platform::{EVENTS, event_data, register};
 use super::server::{Received, read_request, reply};
@@ -10,61 +10,61 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// A server ends when it runs a request whose body holds this.
+/// A server crashes when it runs a request whose body contains this text.
 pub const FATAL: &str = "ends its server";
 
-/// Time that a server works on a request before it answers, or ends.
+/// Time that a server works on a request before it responds or crashes.
 const WORK_TIME: Duration = Duration::from_millis(30);
 
-/// Interval at which a server looks for connections and whether it is to end.
-const LOOK_INTERVAL: Duration = Duration::from_millis(2);
+/// Interval at which a server checks for new connections and whether it has crashed.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// A request that a server began to run.
+/// A request that a server started to run.
 #[derive(Clone, Debug)]
 pub struct CrashRun {
     pub id: String,
     pub body: String,
 }
 
-/// What crashing servers do and have seen.
+/// Servers of one service that crash on fatal requests, with their settings and the runs that they recorded.
 pub struct CrashingServers {
     pub runs: Mutex<Vec<CrashRun>>,
-    ends: AtomicUsize,
-    /// Time that a server works on a request that does not end it, in milliseconds.
+    crashes: AtomicUsize,
+    /// Time that a server works on a request that is not fatal, in milliseconds.
     pub work_ms: AtomicUsize,
-    /// Streams of fatal requests end their server after so many events.
-    pub events_before_end: AtomicUsize,
+    /// Number of events that a fatal stream sends before its server crashes.
+    pub events_before_crash: AtomicUsize,
     service: &'static str,
     store: StandinStore,
-    back_after: Duration,
-    starts: AtomicUsize,
+    restart_delay: Duration,
+    start_count: AtomicUsize,
 }
 
 impl CrashingServers {
-    /// Starts `count` servers of a service. One that ended takes connections again after `back_after`.
-    pub fn start(store: &StandinStore, service: &'static str, count: usize, back_after: Duration) -> Arc<Self> {
+    /// Starts `count` servers of a service. A crashed one accepts connections again after `restart_delay`.
+    pub fn start(store: &StandinStore, service: &'static str, count: usize, restart_delay: Duration) -> Arc<Self> {
         let servers = Arc::new(Self {
             runs: Mutex::default(),
-            ends: AtomicUsize::new(0),
+            crashes: AtomicUsize::new(0),
             work_ms: AtomicUsize::new(WORK_TIME.as_millis() as usize),
-            events_before_end: AtomicUsize::new(0),
+            events_before_crash: AtomicUsize::new(0),
             service,
             store: store.clone(),
-            back_after,
-            starts: AtomicUsize::new(0),
+            restart_delay,
+            start_count: AtomicUsize::new(0),
         });
         for _ in 0..count {
             let listener = TcpListener::bind("127.0.0.1:0").unwrap();
             let servers = servers.clone();
-            let first = servers.enter(listener.local_addr().unwrap());
-            std::thread::spawn(move || servers.live(listener, first));
+            let first = servers.register_instance(listener.local_addr().unwrap());
+            std::thread::spawn(move || servers.run_instances(listener, first));
         }
         servers
     }
 
-    /// Returns how many servers ended.
-    pub fn ended(&self) -> usize {
-        self.ends.load(Ordering::SeqCst)
+    /// Returns the number of crashes so far.
+    pub fn crash_count(&self) -> usize {
+        self.crashes.load(Ordering::SeqCst)
     }
 
     /// Returns the runs of requests with a body.
@@ -73,58 +73,59 @@
     }
 
     /// Registers a new instance and returns its name.
-    fn enter(&self, address: SocketAddr) -> String {
-        let number = self.starts.fetch_add(1, Ordering::SeqCst);
+    fn register_instance(&self, address: SocketAddr) -> String {
+        let number = self.start_count.fetch_add(1, Ordering::SeqCst);
         let name = format!("i-{}-start-{number}", self.service);
         let models = if self.service == "models" { json!([{ "name": "m", "version": 1 }]) } else { json!([]) };
         register(&self.store, &name, self.service, &address.to_string(), models);
         name
     }
 
-    /// Lives at one address, as one instance after the other, until the test ends.
-    fn live(self: Arc<Self>, mut listener: TcpListener, mut name: String) {
+    /// Serves at one address, as a new instance after each crash, until the test ends.
+    fn run_instances(self: Arc<Self>, mut listener: TcpListener, mut name: String) {
         let address = listener.local_addr().unwrap();
         loop {
-            self.serve_until_end(listener, &name);
-            std::thread::sleep(self.back_after);
+            self.serve_until_crash(listener, &name);
+            std::thread::sleep(self.restart_delay);
             self.store.remove("servers", &name);
             listener = TcpListener::bind(address).unwrap();
-            name = self.enter(address);
+            name = self.register_instance(address);
         }
     }
 
-    /// Serves connections until a request ends the server, which breaks all of them.
-    fn serve_until_end(self: &Arc<Self>, listener: TcpListener, name: &str) {
+    /// Serves connections until a request crashes the server, which breaks all of them.
+    fn serve_until_crash(self: &Arc<Self>, listener: TcpListener, name: &str) {
         listener.set_nonblocking(true).unwrap();
-        let is_over = Arc::new(AtomicBool::new(false));
-        let mut open: Vec<TcpStream> = Vec::new();
-        while !is_over.load(Ordering::SeqCst) {
+        let has_crashed = Arc::new(AtomicBool::new(false));
+        let mut connections: Vec<TcpStream> = Vec::new();
+        while !has_crashed.load(Ordering::SeqCst) {
             let Ok((stream, _)) = listener.accept() else {
-                std::thread::sleep(LOOK_INTERVAL);
+                std::thread::sleep(POLL_INTERVAL);
                 continue;
             };
             stream.set_nonblocking(false).unwrap();
-            open.push(stream.try_clone().unwrap());
-            let (servers, name, is_over) = (self.clone(), name.to_owned(), is_over.clone());
-            std::thread::spawn(move || servers.serve_connection(stream, &name, &is_over));
+            connections.push(stream.try_clone().unwrap());
+            let (servers, name, has_crashed) = (self.clone(), name.to_owned(), has_crashed.clone());
+            std::thread::spawn(move || servers.serve_connection(stream, &name, &has_crashed));
         }
-        // Nothing listens once a process has ended, and its callers ask as soon as their connections break.
+        // A crashed process no longer listens, and nodes check that as soon as their connections break. So the
+        // listener is closed first.
         drop(listener);
-        // The other side may have closed its end already.
-        open.iter().for_each(|stream| drop(stream.shutdown(Shutdown::Both)));
+        // An error is ignored, since the peer may already have closed the connection.
+        connections.iter().for_each(|stream| drop(stream.shutdown(Shutdown::Both)));
     }
 
-    fn serve_connection(&self, stream: TcpStream, name: &str, is_over: &AtomicBool) {
+    fn serve_connection(&self, stream: TcpStream, name: &str, has_crashed: &AtomicBool) {
         let mut writer = stream.try_clone().unwrap();
         let mut reader = BufReader::new(stream);
         while let Some(request) = read_request(&mut reader) {
-            if is_over.load(Ordering::SeqCst) || !self.answer(&request, &mut writer, name, is_over) {
+            if has_crashed.load(Ordering::SeqCst) || !self.answer(&request, &mut writer, name, has_crashed) {
                 return;
             }
         }
     }
 
-    fn answer(&self, request: &Received, stream: &mut TcpStream, name: &str, is_over: &AtomicBool) -> bool {
+    fn answer(&self, request: &Received, stream: &mut TcpStream, name: &str, has_crashed: &AtomicBool) -> bool {
         match &*request.path {
             "/trestlerack/report" => {
                 let report = json!({ "models": [{ "name": "m", "version": 1 }], "busy": false, "seq": 0 });
@@ -147,8 +148,8 @@
             std::thread::sleep(if is_fatal { WORK_TIME } else { self.work_time() });
             !is_fatal && reply(stream, 200, &[("request-id", &id), ("response-stamp", &format!("signed-{id}"))], &body)
         };
-        if is_fatal && !is_over.swap(true, Ordering::SeqCst) {
-            self.ends.fetch_add(1, Ordering::SeqCst);
+        if is_fatal && !has_crashed.swap(true, Ordering::SeqCst) {
+            self.crashes.fetch_add(1, Ordering::SeqCst);
         }
         is_alive
     }
@@ -160,7 +161,7 @@
     /// Sends the events after the one that the request names; a fatal request gets only the first ones.
     fn stream_events(&self, request: &Received, stream: &mut TcpStream, id: &str, is_fatal: bool) -> bool {
         let first = request.headers.get("last-event-id").map_or(1, |last| last.parse::<u64>().unwrap() + 1);
-        let events = if is_fatal { self.events_before_end.load(Ordering::SeqCst) as u64 } else { EVENTS };
+        let events = if is_fatal { self.events_before_crash.load(Ordering::SeqCst) as u64 } else { EVENTS };
         if is_fatal && events == 0 {
             std::thread::sleep(WORK_TIME);
             return false;
