--- a/crates/trestlerack/src/process/hedging.rs
+++ b/crates/trestlerack/src/process/hedging.rs
@@ -3,8 +3,8 @@
 //! Only services whose servers are compared hedge before the first attempt fails; see
 //! [docs/design/uneven-load.md](../../../../docs/design/uneven-load.md#parts).
 
-use super::placement::ServerBoard;
-use super::standing::ServerStanding;
+use super::load_balancer::LoadBalancer;
+use super::server_health::ServerHealth;
 use crate::Timestamp;
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 /// Fraction of the target latency after which the second server is used while no latency is known.
 const UNKNOWN_LATENCY_FRACTION: f64 = 0.5;
 
-impl ServerBoard {
+impl LoadBalancer {
     /// Returns the delay between the first attempt and a hedge.
     ///
     /// The hedge starts so late that it still completes within the target latency, but never before the median
@@ -29,9 +29,9 @@
             return None;
         }
         if target.is_zero() {
-            return self.high_time(kind);
+            return self.p95_latency(kind);
         }
-        let Some(median) = self.median_time(kind) else { return Some(target.mul_f64(UNKNOWN_LATENCY_FRACTION)) };
+        let Some(median) = self.median_latency(kind) else { return Some(target.mul_f64(UNKNOWN_LATENCY_FRACTION)) };
         let latest = target.mul_f64(RESPONSE_FRACTION).saturating_sub(median.mul_f64(SECOND_ATTEMPT_MEDIANS));
         Some(latest.max(median))
     }
@@ -39,7 +39,7 @@
     /// Returns whether a call to a server is a probe, because the server is degraded. Hedges of probes
     /// are not charged to the budget: probes are rare, and their callers should not suffer from them.
     pub fn is_probe(&self, now: Timestamp, instance: &str) -> bool {
-        self.is_compared(instance) && self.standing(now, instance) != ServerStanding::Well
+        self.is_compared(instance) && self.health(now, instance) != ServerHealth::Healthy
     }
 
     /// Returns whether a service has a free slot for a second attempt.
--- /dev/null
+++ b/crates/trestlerack/src/process/server_state.rs
@@ -0,0 +1,98 @@
+//! What a node knows of one backend server.
+
+use super::expected_latency::{MeasuredSlowness, ReportedSlowness};
+use super::registry::ServerEntry;
+use super::server_health::{HealthRecord, ServerHealth};
+use super::server_observations::GossipState;
+use crate::version::WeightVersion;
+use crate::{Name, Timestamp};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// Load that a server reported.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct ReportedLoad {
+    pub(super) other_requests: u32,
+    pub(super) reported_at: Timestamp,
+}
+
+/// What this node knows of one server.
+#[derive(Clone, Debug)]
+pub struct ServerState {
+    /// Its entry in service discovery.
+    pub entry: ServerEntry,
+    /// Requests of this node in progress at the server.
+    pub in_flight: u32,
+    /// Requests that this node has sent to the server.
+    pub(super) sent: u64,
+    pub(super) load: ReportedLoad,
+    pub(super) reported_slowness: Option<ReportedSlowness>,
+    pub(super) measured: MeasuredSlowness,
+    pub(super) health: HealthRecord,
+    pub(super) gossip: GossipState,
+    pub(super) pace_ms: Option<f64>,
+    pub(super) pace_measured_at: Timestamp,
+    pub(super) failures: u32,
+    pub(super) refusals: u32,
+    pub(super) paused_until: Timestamp,
+    pub(super) versions: BTreeMap<Name, WeightVersion>,
+    pub(super) loading_until: Option<Timestamp>,
+}
+
+impl ServerState {
+    pub(super) fn new(entry: ServerEntry) -> Self {
+        let versions = entry.models.iter().cloned().collect();
+        Self {
+            entry,
+            in_flight: 0,
+            sent: 0,
+            load: ReportedLoad::default(),
+            reported_slowness: None,
+            measured: MeasuredSlowness::default(),
+            health: HealthRecord::default(),
+            gossip: GossipState::default(),
+            pace_ms: None,
+            pace_measured_at: Timestamp::default(),
+            failures: 0,
+            refusals: 0,
+            paused_until: Timestamp::default(),
+            versions,
+            loading_until: None,
+        }
+    }
+
+    /// Returns the version of a model that the server is assumed to have loaded.
+    pub fn version(&self, model: &str) -> Option<WeightVersion> {
+        self.versions.get(model).copied()
+    }
+
+    pub(super) fn slots(&self) -> u32 {
+        self.entry.slots.max(1)
+    }
+
+    pub(super) fn requests(&self, now: Timestamp, max_load_age: Duration) -> u32 {
+        let other_requests = if now.since(self.load.reported_at) < max_load_age { self.load.other_requests } else { 0 };
+        self.in_flight + other_requests
+    }
+}
+
+/// What was known of a server when it was chosen, for the log.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ServerSnapshot {
+    /// Requests of this node in progress at the server.
+    pub in_flight: u32,
+    /// Requests of other nodes, as the server reported.
+    pub other_requests: u32,
+    /// Time since the server reported its load, in milliseconds, if it ever did.
+    pub load_age_ms: Option<u64>,
+    /// Pace of the server relative to the median of its service; above 1 is slower.
+    pub slowness: f64,
+    /// Expected slowness of one call, relative to the median latency of its route and without queueing.
+    pub expected_slowness: f64,
+    /// Its health.
+    pub health: ServerHealth,
+    /// The node whose observation was used; `None` if this node's own measurements were.
+    pub reported_by: Option<Name>,
+    /// Loaded version of the requested model; 0 if none was requested or it is unknown.
+    pub weight_version: WeightVersion,
+}
--- a/crates/trestlerack/src/process/wait_estimate.rs
+++ b/crates/trestlerack/src/process/wait_estimate.rs
@@ -1,7 +1,7 @@
 //! Estimates how long a service takes for one more call.
 
-use super::placement::ServerBoard;
-use super::server_belief::ServerBelief;
+use super::load_balancer::LoadBalancer;
+use super::server_state::ServerState;
 use crate::Timestamp;
 use std::time::Duration;
 
@@ -23,24 +23,27 @@
     pub load_age: Option<Duration>,
 }
 
-impl ServerBoard {
+impl LoadBalancer {
     /// Estimates the wait of one more call to a service. Servers that are paused, draining or loading are
     /// ignored.
     pub fn wait_estimate(&self, now: Timestamp, service: &str) -> WaitEstimate {
-        let is_available = |belief: &&ServerBelief| !belief.entry.is_draining && belief.not_before <= now;
-        let available: Vec<&ServerBelief> = self.of_service(service).filter(is_available).collect();
-        let busy = |belief: &ServerBelief| belief.busy(now, self.settings.load_age);
-        let slots = available.iter().map(|belief| belief.slots()).sum();
-        let free_slots = available.iter().map(|belief| belief.slots().saturating_sub(busy(belief))).sum();
-        let waiting: u32 = available.iter().map(|belief| busy(belief).saturating_sub(belief.slots())).sum();
-        let service_time = self.answer_times.median(service).unwrap_or_default();
+        let is_available = |server: &&ServerState| !server.entry.is_draining && server.paused_until <= now;
+        let available: Vec<&ServerState> = self.of_service(service).filter(is_available).collect();
+        let busy = |server: &ServerState| server.requests(now, self.settings.max_load_age);
+        let slots = available.iter().map(|server| server.slots()).sum();
+        let free_slots = available.iter().map(|server| server.slots().saturating_sub(busy(server))).sum();
+        let waiting: u32 = available.iter().map(|server| busy(server).saturating_sub(server.slots())).sum();
+        let service_time = self.service_latencies.median(service).unwrap_or_default();
         let wait = match (free_slots, slots) {
             (1.., _) => Duration::ZERO,
             (0, 0) => Duration::MAX,
             // Slots are assumed to become free at even intervals.
             (0, slots) => service_time.mul_f64(f64::from(waiting + 1) / f64::from(slots)),
         };
-        let ages = available.iter().map(|belief| now.since(belief.load.at)).filter(|age| *age < self.settings.load_age);
+        let ages = available
+            .iter()
+            .map(|server| now.since(server.load.reported_at))
+            .filter(|age| *age < self.settings.max_load_age);
         WaitEstimate { wait, service_time, slots, free_slots, load_age: ages.min() }
     }
 }
--- a/crates/trestlerack/tests/store_rates.rs
+++ b/crates/trestlerack/tests/store_rates.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use trestlerack::Timestamp;
 use trestlerack::interfaces::StoreError;
-use trestlerack::process::{DirectWay, NODE_PARTITIONS, WayChange, node_partition, rate_limit_backoff};
+use trestlerack::process::{AccessChange, DirectAccess, NODE_PARTITIONS, node_partition, rate_limit_backoff};
 
 /// Transactions per second that a partition accepts; it queues up to one second of them.
 const PARTITION_RATE: usize = 150;
@@ -108,47 +108,47 @@
 
 const NOW: Timestamp = Timestamp(1_000_000);
 
-fn record_refusals(access: &mut DirectWay, times: u64, interval_ms: u64) -> Vec<Option<WayChange>> {
+fn record_refusals(access: &mut DirectAccess, times: u64, interval_ms: u64) -> Vec<Option<AccessChange>> {
     let note = |call| {
         let now = NOW + Duration::from_millis(call * interval_ms);
-        access.note(now, now, Some(StoreError::RateLimited))
+        access.record_result(now, now, Some(StoreError::RateLimited))
     };
     (0..times).map(note).collect()
 }
 
 #[test]
 fn rate_limit_refusals_among_answers_never_divert_calls_to_peers() {
-    let mut access = DirectWay::default();
+    let mut access = DirectAccess::default();
     for call in 0..1_000 {
         let answered = call % 4 == 3;
         let failure = (!answered).then_some(StoreError::RateLimited);
         let now = NOW + Duration::from_millis(call * 200);
-        assert_eq!(access.note(now, now, failure), None);
+        assert_eq!(access.record_result(now, now, failure), None);
     }
-    assert!(!access.is_doubtful());
+    assert!(!access.prefers_peers());
 }
 
 #[test]
 fn a_burst_of_refusals_is_not_an_outage() {
-    let mut access = DirectWay::default();
+    let mut access = DirectAccess::default();
     assert!(record_refusals(&mut access, 100, 1).iter().all(Option::is_none));
 }
 
 /// Every call of this node is refused for a while, which a rate limit of the store would not do.
 #[test]
 fn a_node_whose_every_call_is_refused_uses_peers_until_a_call_is_answered() {
-    let mut access = DirectWay::default();
+    let mut access = DirectAccess::default();
     let changes = record_refusals(&mut access, 8, 150);
-    assert_eq!(changes.iter().flatten().collect::<Vec<_>>(), [&WayChange::Lost]);
-    assert!(access.is_doubtful());
-    assert_eq!(access.note(NOW, NOW + Duration::from_secs(9), None), Some(WayChange::Regained));
-    assert!(!access.is_doubtful());
+    assert_eq!(changes.iter().flatten().collect::<Vec<_>>(), [&AccessChange::Lost]);
+    assert!(access.prefers_peers());
+    assert_eq!(access.record_result(NOW, NOW + Duration::from_secs(9), None), Some(AccessChange::Regained));
+    assert!(!access.prefers_peers());
 }
 
 #[test]
 fn an_outage_diverts_calls_to_peers_at_once() {
     for error in [StoreError::Unavailable, StoreError::Unknown] {
-        assert_eq!(DirectWay::default().note(NOW, NOW, Some(error)), Some(WayChange::Lost));
+        assert_eq!(DirectAccess::default().record_result(NOW, NOW, Some(error)), Some(AccessChange::Lost));
     }
 }
 
@@ -157,10 +157,10 @@
 #[test]
 fn a_slow_partition_is_not_an_outage_of_the_store() {
     let at = |ms| NOW + Duration::from_millis(ms);
-    let mut access = DirectWay::default();
-    assert_eq!(access.note(at(500), at(504), None), None);
-    assert_eq!(access.note(at(0), at(600), Some(StoreError::Unknown)), None);
-    assert!(!access.is_doubtful());
-    assert_eq!(access.note(at(505), at(1_105), Some(StoreError::Unknown)), Some(WayChange::Lost));
-    assert_eq!(access.note(at(1_200), at(1_204), None), Some(WayChange::Regained));
+    let mut access = DirectAccess::default();
+    assert_eq!(access.record_result(at(500), at(504), None), None);
+    assert_eq!(access.record_result(at(0), at(600), Some(StoreError::Unknown)), None);
+    assert!(!access.prefers_peers());
+    assert_eq!(access.record_result(at(505), at(1_105), Some(StoreError::Unknown)), Some(AccessChange::Lost));
+    assert_eq!(access.record_result(at(1_200), at(1_204), None), Some(AccessChange::Regained));
 }
--- a/crates/trestlerackd/src/entry/item_run.rs
+++ b/crates/trestlerackd/src/entry/item_run.rs
@@ -109,14 +109,14 @@
         return (RunEnd::NotRun, "the known ends of jobs are too old to start work".into());
     }
     let timeouts =
-        RunTimeouts::for_event_gap(node.board.lock().unwrap().typical_pace(node.now(), &ticket.server.service));
+        RunTimeouts::for_event_gap(node.balancer.lock().unwrap().median_pace(node.now(), &ticket.server.service));
     let opening = attempt::open_answer(node, ticket, request, false);
     let open = match clock::timeout(timeouts.response_head, opening).await {
         Ok(Ok(open)) => open,
         Ok(Err(AttemptError::MayHaveRun(detail))) => return (RunEnd::Broken, detail),
         Ok(Err(error)) => return (RunEnd::NotRun, error.to_string()),
         Err(_) => {
-            node.board.lock().unwrap().failed(node.now(), &instance);
+            node.balancer.lock().unwrap().failed(node.now(), &instance);
             return (RunEnd::Broken, "no response head in time".into());
         }
     };
@@ -126,7 +126,7 @@
         StatusCode::INTERNAL_SERVER_ERROR => (RunEnd::Failed, "the engine reported a failure".into()),
         // The deadline passed, or a component in front of the engine failed; it does not count against the item.
         status => {
-            node.board.lock().unwrap().failed(node.now(), &instance);
+            node.balancer.lock().unwrap().failed(node.now(), &instance);
             (RunEnd::Broken, format!("the engine responded with {status}"))
         }
     }
@@ -173,13 +173,13 @@
         let frame = match clock::timeout(timeouts.event_gap, body.frame()).await {
             Ok(Some(Ok(frame))) => frame,
             Ok(Some(Err(error))) => {
-                node.board.lock().unwrap().failed(node.now(), &instance);
+                node.balancer.lock().unwrap().failed(node.now(), &instance);
                 server_end::connection_broke(node, &ticket, &item.id).await;
                 return (RunEnd::Broken, error.to_string());
             }
             Ok(None) => break,
             Err(_) => {
-                node.board.lock().unwrap().failed(node.now(), &instance);
+                node.balancer.lock().unwrap().failed(node.now(), &instance);
                 return (RunEnd::Broken, "no event in time".into());
             }
         };
@@ -206,7 +206,7 @@
     if !decoder.is_between_events() {
         return (RunEnd::Broken, "the stream ended within an event".into());
     }
-    node.board.lock().unwrap().succeeded(&instance);
+    node.balancer.lock().unwrap().succeeded(&instance);
     suspects::answered(node, &ticket);
     if !head.is_closing {
         node.pool.keep(lease, head.idle_limit);
@@ -216,7 +216,7 @@
 
 fn record_version(node: &EntryNode, instance: &Name, model: Option<&Name>, version: Option<WeightVersion>) {
     if let (Some(model), Some(version)) = (model, version) {
-        node.board.lock().unwrap().stated_version(instance, model, version);
+        node.balancer.lock().unwrap().record_version(instance, model, version);
     }
 }
 
@@ -226,8 +226,8 @@
         return Duration::ZERO;
     }
     let (since_boot, monotonic) = clock::both_clocks();
-    let Some(sample) = pace.arrived(since_boot, monotonic, events) else { return Duration::ZERO };
-    node.board.lock().unwrap().event_gap(node.now(), instance, sample.pace);
+    let Some(sample) = pace.record_arrival(since_boot, monotonic, events) else { return Duration::ZERO };
+    node.balancer.lock().unwrap().record_event_gap(node.now(), instance, sample.pace);
     sample.gap
 }
 
@@ -237,7 +237,7 @@
     if gap <= trace.longest_gap || trace.kind == RunKind::Speculative {
         return;
     }
-    let median_pace = node.board.lock().unwrap().typical_pace(node.now(), service);
+    let median_pace = node.balancer.lock().unwrap().median_pace(node.now(), service);
     if shows_preemption(gap, median_pace) {
         driver.tracker.lock().unwrap().mark_preempted(trace.index);
     }
--- a/crates/trestlerackd/src/entry/job_calls.rs
+++ b/crates/trestlerackd/src/entry/job_calls.rs
@@ -46,7 +46,7 @@
     request: &ClientRequest,
 ) -> Result<JobView, JobLookupError> {
     let view = find_job(node, job).await?;
-    if request.caller.may_see(view.head.customer.as_ref()) { Ok(view) } else { Err(JobLookupError::NotFound) }
+    if request.caller.may_access(view.head.customer.as_ref()) { Ok(view) } else { Err(JobLookupError::NotFound) }
 }
 
 /// Finds a job, and reads it from the store if this node does not know it.
--- a/crates/trestlerackd/src/entry/job_runs.rs
+++ b/crates/trestlerackd/src/entry/job_runs.rs
@@ -8,7 +8,7 @@
 use crate::process::logs;
 use std::sync::Arc;
 use std::time::Duration;
-use trestlerack::process::{ServerEntry, ServerNeed, ServerRoom};
+use trestlerack::process::{ServerEntry, ServerNeed, SlotNeed};
 use trestlerack::request::{ItemPhase, JobTracker, RequestFingerprint, RunEnd, RunKind};
 use trestlerack::version::{RequestRoute, RoutingTable};
 use trestlerack::{Name, event};
@@ -66,14 +66,14 @@
         let model = driver.spec.model_of(item);
         let Some(need) = item_need(node, driver, route, index, model.as_deref()) else { return };
         let is_long = tracker.is_long(index) || final_groups.contains(&item.group);
-        let mut need = ServerNeed { pinned: tracker.pinned_version(index), is_long, ..need };
-        let board = node.board.lock().unwrap();
-        if need.pinned.is_some() && board.count(now, &need) == 0 {
+        let mut need = ServerNeed { pinned_version: tracker.pinned_version(index), is_long, ..need };
+        let balancer = node.balancer.lock().unwrap();
+        if need.pinned_version.is_some() && balancer.count_eligible(now, &need) == 0 {
             // No engine has that version any more.
             tracker.discard_text(index);
-            need.pinned = None;
+            need.pinned_version = None;
         }
-        drop(board);
+        drop(balancer);
         let (entry, is_isolated) = choose_engine(node, driver.fingerprints[index], &need);
         engine_memory::log_left(node, &item.id, &need);
         let is_oversize = engine_memory::is_oversize(node, driver, index, need.service);
@@ -85,8 +85,8 @@
                 start_run(node, driver, &mut tracker, index, entry);
             }
             // Other items may still find a free slot.
-            None if is_oversize => node.board.lock().unwrap().keep_engine(now, &need),
-            None if need.pinned.is_some() || is_isolated => {}
+            None if is_oversize => node.balancer.lock().unwrap().reserve_engine(now, &need),
+            None if need.pinned_version.is_some() || is_isolated => {}
             None => {
                 drop(tracker);
                 return cancel_speculative_runs(node, driver, waiting.len() - handled);
@@ -107,7 +107,7 @@
     Some(ServerNeed {
         service: route.service_for(&driver.spec.items[index].id)?,
         weights: model.map(|model| (model, driver.spec.min_version)),
-        room: ServerRoom::Place,
+        slot_need: SlotNeed::One,
         tokens: driver.tokens[index].as_ref(),
         zone: &node.settings.zone,
         tie_key: &node.settings.name,
@@ -148,7 +148,7 @@
     let entry = if is_isolated {
         suspects::choose_apart(node, fingerprint, need)
     } else {
-        node.board.lock().unwrap().choose(node.now(), need).map(|belief| belief.entry.clone())
+        node.balancer.lock().unwrap().choose(node.now(), need).map(|server| server.entry.clone())
     };
     (entry, is_isolated)
 }
@@ -221,8 +221,8 @@
     let Some((index, engine)) = tracker.speculation_candidates(newest).into_iter().find(is_unsuspected) else { return };
     let Some(need) = item_need(node, driver, route, index, Some(&model)) else { return };
     let avoid = std::slice::from_ref(&engine);
-    let need = ServerNeed { weights: Some((&model, newest)), room: ServerRoom::Half, avoid, ..need };
-    let entry = node.board.lock().unwrap().choose(node.now(), &need).map(|belief| belief.entry.clone());
+    let need = ServerNeed { weights: Some((&model, newest)), slot_need: SlotNeed::HalfFree, avoid, ..need };
+    let entry = node.balancer.lock().unwrap().choose(node.now(), &need).map(|server| server.entry.clone());
     let Some(entry) = entry else { return };
     let kind = RunKind::Speculative;
     let priority = urgency::of_item(node, driver, &tracker, &entry.service, index, kind);
--- a/crates/trestlerackd/src/entry/run_moves.rs
+++ b/crates/trestlerackd/src/entry/run_moves.rs
@@ -55,9 +55,9 @@
 /// than searching a free slot for each run.
 fn slow_engines(node: &EntryNode, route: &RequestRoute, running: &[(usize, Name)], min_slowness: f64) -> HashSet<Name> {
     let engines: HashSet<Name> = running.iter().map(|(_, engine)| engine.clone()).collect();
-    let board = node.board.lock().unwrap();
+    let balancer = node.balancer.lock().unwrap();
     let services = route.shares.iter().map(|share| &share.service);
-    services.flat_map(|service| board.slow_among(node.now(), service, min_slowness, &engines)).collect()
+    services.flat_map(|service| balancer.slow_servers(node.now(), service, min_slowness, &engines)).collect()
 }
 
 /// Returns the slowness of a run's engine and a much faster engine with a free slot, if a move is worthwhile.
@@ -73,20 +73,20 @@
         let tracker = driver.tracker.lock().unwrap();
         (tracker.pinned_version(index), tracker.is_long(index), tracker.remaining_events(index))
     };
-    let board = node.board.lock().unwrap();
+    let balancer = node.balancer.lock().unwrap();
     let now = node.now();
-    let slowness = board.slowness(now, engine);
+    let slowness = balancer.slowness(now, engine);
     let item = &driver.spec.items[index];
     let is_final = final_groups.contains(&item.group);
     let model = driver.spec.model_of(item);
     let need = job_runs::item_need(node, driver, route, index, model.as_deref())?;
     let avoid = std::slice::from_ref(engine);
-    let need = ServerNeed { pinned, is_long: is_long || is_final, avoid, ..need };
-    let target = board.choose(now, &need)?;
+    let need = ServerNeed { pinned_version: pinned, is_long: is_long || is_final, avoid, ..need };
+    let target = balancer.choose(now, &need)?;
     let run_move = RunMove {
         slowness,
-        other_slowness: board.slowness(now, &target.entry.instance),
-        event_gap: Duration::from_secs_f64(board.typical_pace(now, need.service) / 1_000.0),
+        other_slowness: balancer.slowness(now, &target.entry.instance),
+        event_gap: Duration::from_secs_f64(balancer.median_pace(now, need.service) / 1_000.0),
         remaining_events,
         is_final,
     };
