--- a/crates/trestlerackd/tests/entry/jobs.rs
+++ b/crates/trestlerackd/tests/entry/jobs.rs
@@ -252,21 +252,21 @@
 #[test]
 fn a_suspended_node_that_was_unregistered_registers_again() {
     let platform = Platform::start();
-    let frozen = EntryDaemon::start("frozen", &platform.store, &[]);
-    let other = EntryDaemon::start("b", &platform.store, &[&frozen.peer]);
+    let suspended = EntryDaemon::start("frozen", &platform.store, &[]);
+    let other = EntryDaemon::start("b", &platform.store, &[&suspended.peer]);
     let rows = || platform.store.count("state", &node_partition("frozen"));
     eventually("it is registered", || rows() == 1);
-    assert_eq!(submit(&frozen, "job1", 2), 202);
-    assert_eq!(read_all(&frozen, "job1", 2).len(), 2);
+    assert_eq!(submit(&suspended, "job1", 2), 202);
+    assert_eq!(read_all(&suspended, "job1", 2).len(), 2);
     // The other node must know the last job before it assigns the next one to the same driver.
     assert_eq!(read_all(&other, "job1", 2).len(), 2);
-    frozen.signal("-STOP");
+    suspended.signal("-STOP");
     assert_eq!(submit(&other, "job2", 2), 202);
     eventually("its row is removed", || rows() == 0);
-    frozen.signal("-CONT");
+    suspended.signal("-CONT");
     eventually("its row is there again", || rows() == 1);
-    assert_eq!(submit(&frozen, "job3", 2), 202);
-    assert_eq!(read_all(&frozen, "job3", 2).len(), 2);
+    assert_eq!(submit(&suspended, "job3", 2), 202);
+    assert_eq!(read_all(&suspended, "job3", 2).len(), 2);
 }
 
 #[test]
@@ -355,7 +355,7 @@
 }
 
 #[test]
-fn a_lost_watch_history_leads_to_reads_of_open_jobs_only() {
+fn after_a_lost_watch_history_only_rows_that_may_change_are_read() {
     let platform = Platform::start();
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
     platform.engine.pace_ms.store(2_000, Ordering::SeqCst);
