--- a/crates/trestlerackd/src/request/plain.rs
+++ b/crates/trestlerackd/src/request/plain.rs
@@ -176,7 +176,7 @@
     };
     let response = clock::timeout(remaining, exchange).await;
     response
-        .unwrap_or_else(|_| Err(Failure::may_have_run(Reason::DeadlineExceeded, "the service did not answer in time")))
+        .unwrap_or_else(|_| Err(Failure::may_have_run(Reason::DeadlineExceeded, "the service did not respond in time")))
 }
 
 fn build_request(call: &PlainCall, backend: &Backend) -> Result<Request<Full<Bytes>>, Failure> {
