--- a/crates/trestlerackd/src/entry/attempt.rs
+++ b/crates/trestlerackd/src/entry/attempt.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use trestlerack::process::MemoryReservation;
-use trestlerack_platform::{self as platform, EngineRequest, ReplyHead};
+use trestlerack_platform::{self as platform, ResponseHead, ServerRequest};
 
 /// Longest answer that is read whole before it is passed on, in bytes.
 const MAX_ANSWER: usize = 32 * 1024 * 1024;
@@ -27,7 +27,7 @@
     /// Headers.
     pub headers: HeaderMap,
     /// What the headers say.
-    pub head: ReplyHead,
+    pub head: ResponseHead,
     /// Body.
     pub body: Bytes,
     /// Count of the bytes of the body.
@@ -41,7 +41,7 @@
     /// Headers.
     pub headers: HeaderMap,
     /// What the headers say.
-    pub head: ReplyHead,
+    pub head: ResponseHead,
     /// Body.
     pub body: Incoming,
     /// Connection; dropping it cancels the work.
@@ -84,7 +84,7 @@
 pub async fn open_answer(
     node: &Arc<EntryNode>,
     ticket: ServerTicket,
-    mut request: EngineRequest<'_>,
+    mut request: ServerRequest<'_>,
     wants_fresh: bool,
 ) -> Result<OpenAnswer, AttemptError> {
     let instance = ticket.server.instance.clone();
@@ -123,7 +123,7 @@
         }
     };
     let (parts, body) = response.into_parts();
-    let head = platform::decode_reply_head(&parts.headers);
+    let head = platform::decode_response_head(&parts.headers);
     let is_foreign = head.request_id.as_deref().is_some_and(|id| id != request_id);
     if is_foreign {
         return Err(AttemptError::MayHaveRun("an answer to another request came".into()));
@@ -137,7 +137,7 @@
     let is_other_server = parts.status == StatusCode::MISDIRECTED_REQUEST;
     if head.is_not_run || is_other_server {
         ticket.settle();
-        let is_gone = platform::names_instance(&parts.headers).is_some_and(|other| other != instance);
+        let is_gone = platform::responding_instance(&parts.headers).is_some_and(|other| other != instance);
         note_refusal(node, &instance, is_gone);
         if !is_gone {
             room::note_full(node, &ticket.server.service);
@@ -145,7 +145,7 @@
         keep_after_body(node, body, lease, &head).await;
         return Err(AttemptError::NotRun(format!("refused with {}", parts.status)));
     }
-    if head.is_encoded {
+    if head.is_content_encoded {
         return Err(AttemptError::MayHaveRun("the answer is encoded, so it is not the server's own body".into()));
     }
     if head.signature.is_none() || head.request_id.is_none() {
@@ -164,12 +164,12 @@
 }
 
 /// Reads the short body of a refusal, so that its connection can be used again.
-async fn keep_after_body(node: &Arc<EntryNode>, body: Incoming, lease: ConnectionLease, head: &ReplyHead) {
+async fn keep_after_body(node: &Arc<EntryNode>, body: Incoming, lease: ConnectionLease, head: &ResponseHead) {
     const REFUSAL_BYTES: usize = 4 * 1024;
     const REFUSAL_TIME: Duration = Duration::from_millis(50);
     let read = clock::timeout(REFUSAL_TIME, Limited::new(body, REFUSAL_BYTES).collect()).await;
     if matches!(read, Ok(Ok(_))) && !head.is_closing {
-        node.pool.keep(lease, head.idle_limit);
+        node.pool.keep(lease, head.idle_timeout);
     }
 }
 
@@ -177,7 +177,7 @@
 pub async fn whole_answer(
     node: &Arc<EntryNode>,
     ticket: ServerTicket,
-    request: EngineRequest<'_>,
+    request: ServerRequest<'_>,
     wants_fresh: bool,
     limit: Duration,
 ) -> Result<WholeAnswer, AttemptError> {
@@ -194,7 +194,7 @@
         node.balancer.lock().unwrap().succeeded(&instance);
         suspects::answered(node, &open.ticket);
         if !open.head.is_closing {
-            node.pool.keep(open.lease, open.head.idle_limit);
+            node.pool.keep(open.lease, open.head.idle_timeout);
         }
         Ok(WholeAnswer { status: open.status, headers: open.headers, head: open.head, body, held })
     };
--- a/crates/trestlerackd/src/entry/client_links.rs
+++ b/crates/trestlerackd/src/entry/client_links.rs
@@ -127,7 +127,7 @@
 }
 
 fn refuse(request: &Request<Incoming>) -> Response<front::ReplyBody> {
-    let head = platform::decode_client_head(request.headers());
+    let head = platform::decode_request_head(request.headers());
     let mut reply = platform::not_run_reply(head.request_id.as_ref(), FULL_RETURN).map(front::full_reply);
     reply.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     reply
--- a/crates/trestlerackd/src/entry/duties/calls.rs
+++ b/crates/trestlerackd/src/entry/duties/calls.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use trestlerack::Timestamp;
 use trestlerack::process::{DutyGate, DutySettings};
-use trestlerack_platform::{self as platform, DutyAnswer, DutyHolder};
+use trestlerack_platform::{self as platform, DutyOutcome, LeaseHolder};
 
 /// Time after which a call counts as lost, half a second more than a platform takes that is slowed
 /// down by a hundred times.
@@ -46,36 +46,36 @@
     pub async fn call(
         &self,
         node: &Arc<EntryNode>,
-        encode: impl FnOnce(DutyHolder<'_>) -> Result<Request<Bytes>, platform::WireError>,
-    ) -> Option<(u64, DutyAnswer)> {
+        encode: impl FnOnce(LeaseHolder<'_>) -> Result<Request<Bytes>, platform::WireError>,
+    ) -> Option<(u64, DutyOutcome)> {
         let now = node.now();
         // Checked next to the send, with nothing to wait for in between.
         let fence = node.lease.fence(now).filter(|_| !node.is_stopping())?;
         if now < *self.not_before.lock().unwrap() || !self.gate.lock().unwrap().may_call(now, fence) {
             return None;
         }
-        let holder = DutyHolder { node: &node.settings.name, fence };
-        let Ok(mut request) = encode(holder) else { return Some((fence, DutyAnswer::Refused)) };
+        let holder = LeaseHolder { node: &node.settings.name, fence };
+        let Ok(mut request) = encode(holder) else { return Some((fence, DutyOutcome::Refused)) };
         if let Ok(host) = node.settings.duty_service.parse() {
             request.headers_mut().insert(header::HOST, host);
         }
         self.gate.lock().unwrap().record_call(now, fence);
         *self.not_before.lock().unwrap() = now + self.pause;
         let answer = clock::timeout(CALL_TIMEOUT, exchange(node, request)).await;
-        Some((fence, answer.unwrap_or(DutyAnswer::Unknown)))
+        Some((fence, answer.unwrap_or(DutyOutcome::Unknown)))
     }
 }
 
-async fn exchange(node: &Arc<EntryNode>, request: Request<Bytes>) -> DutyAnswer {
+async fn exchange(node: &Arc<EntryNode>, request: Request<Bytes>) -> DutyOutcome {
     let (response, lease) = match node.pool.send(&node.settings.duty_service, request, false).await {
         Ok(answer) => answer,
-        Err(ExchangeError::NotSent(_) | ExchangeError::NoAnswer(_)) => return DutyAnswer::Unknown,
+        Err(ExchangeError::NotSent(_) | ExchangeError::NoAnswer(_)) => return DutyOutcome::Unknown,
     };
     let (parts, body) = response.into_parts();
-    let head = platform::decode_reply_head(&parts.headers);
+    let head = platform::decode_response_head(&parts.headers);
     let is_whole = Limited::new(body, MAX_ANSWER).collect().await.is_ok();
     if is_whole && !head.is_closing {
-        node.pool.keep(lease, head.idle_limit);
+        node.pool.keep(lease, head.idle_timeout);
     }
-    platform::decode_duty_answer(parts.status)
+    platform::decode_duty_outcome(parts.status)
 }
--- a/crates/trestlerackd/src/entry/duties/engines.rs
+++ b/crates/trestlerackd/src/entry/duties/engines.rs
@@ -12,7 +12,7 @@
 use trestlerack::process::{FleetController, FleetRow, FleetSettings, ScalingConfig, ZoneEngines};
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall, StoreReply};
 use trestlerack::{Name, event};
-use trestlerack_platform::{self as platform, DutyAnswer};
+use trestlerack_platform::{self as platform, DutyOutcome};
 
 /// Interval between two looks.
 const LOOK_INTERVAL: Duration = Duration::from_millis(200);
@@ -137,7 +137,8 @@
         desk.unsent.remove(0);
         return;
     };
-    let encode = |holder: platform::DutyHolder<'_>| platform::encode_engines(holder, service, &zone, order.engines);
+    let encode =
+        |holder: platform::LeaseHolder<'_>| platform::encode_scale_request(holder, service, &zone, order.engines);
     let Some((fence, answer)) = caller.call(node, encode).await else { return };
     let fields: [(&str, &dyn std::fmt::Display); 5] = [
         ("service", service),
@@ -148,14 +149,14 @@
     ];
     logs::write(event::ENGINES_ORDERED, &fields);
     match answer {
-        DutyAnswer::Done => {
+        DutyOutcome::Done => {
             desk.unsent.remove(0);
         }
-        DutyAnswer::NoneLeft | DutyAnswer::Refused => {
+        DutyOutcome::NoneLeft | DutyOutcome::Refused => {
             desk.unsent.remove(0);
             desk.row.orders.remove(&zone);
             desk.fleet.record_refusal(node.now(), &zone);
         }
-        DutyAnswer::RateLimited | DutyAnswer::Unknown => {}
+        DutyOutcome::RateLimited | DutyOutcome::Unknown => {}
     }
 }
--- a/crates/trestlerackd/src/entry/duties/usage_report.rs
+++ b/crates/trestlerackd/src/entry/duties/usage_report.rs
@@ -16,7 +16,7 @@
 use trestlerack::process::{UsageReport, UsageSettings, UsageSnapshot, WindowSnapshots};
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall, StoreReply};
 use trestlerack::{Name, Timestamp, event};
-use trestlerack_platform::{self as platform, DutyAnswer};
+use trestlerack_platform::{self as platform, DutyOutcome};
 
 /// Interval between two looks.
 const LOOK_INTERVAL: Duration = Duration::from_millis(100);
@@ -233,20 +233,20 @@
     let Some((window, report)) = desk.unsent.first_key_value().map(|(window, report)| (*window, report.clone())) else {
         return;
     };
-    let encode = |holder: platform::DutyHolder<'_>| platform::encode_usage(holder, window, &report.counts);
+    let encode = |holder: platform::LeaseHolder<'_>| platform::encode_usage_report(holder, window, &report.counts);
     let Some((fence, answer)) = caller.call(node, encode).await else { return };
     logs::write(event::USAGE_REPORTED, &[("window", &window), ("fence", &fence), ("answer", &answer.as_str())]);
     match answer {
-        DutyAnswer::Done => {
+        DutyOutcome::Done => {
             desk.unsent.remove(&window);
             desk.unmarked.insert(window, report);
         }
         // The same report would be refused again, and later windows must not wait for it.
-        DutyAnswer::Refused | DutyAnswer::NoneLeft => {
+        DutyOutcome::Refused | DutyOutcome::NoneLeft => {
             desk.unsent.remove(&window);
             node.metrics.usage_missed(1);
         }
-        DutyAnswer::RateLimited | DutyAnswer::Unknown => desk.retry_at = node.now() + RETRY_PAUSE,
+        DutyOutcome::RateLimited | DutyOutcome::Unknown => desk.retry_at = node.now() + RETRY_PAUSE,
     }
 }
 
--- a/crates/trestlerackd/src/entry/engine_calls.rs
+++ b/crates/trestlerackd/src/entry/engine_calls.rs
@@ -37,7 +37,7 @@
         fence,
         orders_before,
     };
-    let Ok(request) = platform::encode_order(&wire) else { return OrderOutcome::NotSent };
+    let Ok(request) = platform::encode_weight_order(&wire) else { return OrderOutcome::NotSent };
     match ask_engine(node, entry, request).await {
         Ok((StatusCode::ACCEPTED, _)) => OrderOutcome::Accepted,
         Ok((StatusCode::OK, _)) => OrderOutcome::Held,
@@ -50,15 +50,15 @@
 
 /// Asks an engine for its report; `None` if it does not answer.
 pub async fn ask_report(node: &Arc<EntryNode>, entry: &ServerEntry) -> Option<EngineReport> {
-    let request = platform::encode_report_request(&entry.instance).ok()?;
+    let request = platform::encode_engine_report_request(&entry.instance).ok()?;
     let answer = ask_engine(node, entry, request).await;
     let report = match &answer {
-        Ok((StatusCode::OK, body)) => platform::decode_report(body).ok(),
+        Ok((StatusCode::OK, body)) => platform::decode_engine_report(body).ok(),
         _ => None,
     };
     logs::write(
         event::ENGINE_ASKED,
-        &[("engine", &entry.instance), ("report", &platform::report_text(report.as_ref()))],
+        &[("engine", &entry.instance), ("report", &platform::engine_report_text(report.as_ref()))],
     );
     report
 }
@@ -74,11 +74,11 @@
     let exchange = async {
         let (response, lease) = node.pool.send(&entry.address, request, true).await?;
         let (parts, body) = response.into_parts();
-        let head = platform::decode_reply_head(&parts.headers);
+        let head = platform::decode_response_head(&parts.headers);
         let body = Limited::new(body, MAX_ANSWER).collect().await;
         let body = body.map_err(|error| ExchangeError::NoAnswer(error.to_string()))?.to_bytes();
         if !head.is_closing {
-            node.pool.keep(lease, head.idle_limit);
+            node.pool.keep(lease, head.idle_timeout);
         }
         Ok((parts.status, body))
     };
--- a/crates/trestlerackd/src/entry/front.rs
+++ b/crates/trestlerackd/src/entry/front.rs
@@ -18,7 +18,7 @@
 use trestlerack::request::{RequestContent, RequestFingerprint};
 use trestlerack::version::{CallerCredential, CallerVerdict, RouteKind, RoutingTable};
 use trestlerack::{Name, event};
-use trestlerack_platform::{self as platform, ClientHead, FrontCall};
+use trestlerack_platform::{self as platform, ClientOperation, RequestHead};
 
 /// Time after which a client is told to return while this node knows no configuration.
 const NO_CONFIG_RETURN: Duration = Duration::from_millis(200);
@@ -52,7 +52,7 @@
     /// Headers.
     pub headers: HeaderMap,
     /// What the headers say.
-    pub head: ClientHead,
+    pub head: RequestHead,
     /// Who it is served for.
     pub caller: CallerVerdict,
     /// Body.
@@ -94,7 +94,7 @@
 pub async fn answer(node: &Arc<EntryNode>, request: Request<Incoming>) -> Response<ReplyBody> {
     let (mut parts, body) = request.into_parts();
     let credential = platform::take_credential(&mut parts.headers);
-    let head = platform::decode_client_head(&parts.headers);
+    let head = platform::decode_request_head(&parts.headers);
     let id = head.request_id.clone();
     let span = node.hop("request", SpanKind::Server, &mut parts.headers);
     if let Some(span) = &span {
@@ -119,7 +119,7 @@
     if let Err(refusal) = take_body(node, &routing, &mut request, body).await {
         return refusal;
     }
-    let call = platform::classify_call(&request.method, &request.path, parts.uri.query().unwrap_or(""));
+    let call = platform::classify_request(&request.method, &request.path, parts.uri.query().unwrap_or(""));
     let mut reply = match identify(node, &routing, &call, &mut request, &credential).await {
         Ok(()) => {
             if let Some(customer) = request.caller.customer() {
@@ -189,12 +189,12 @@
 async fn identify(
     node: &Arc<EntryNode>,
     routing: &RoutingTable,
-    call: &FrontCall,
+    call: &ClientOperation,
     request: &mut ClientRequest,
     credential: &CallerCredential,
 ) -> Result<(), Response<ReplyBody>> {
     let is_public = match call {
-        FrontCall::Routed => match routing.select(&request.host, &request.path) {
+        ClientOperation::Routed => match routing.select(&request.host, &request.path) {
             Some(route) => route.is_public,
             None => find_new_route(node, request).await?,
         },
@@ -245,13 +245,13 @@
     logs::write(event::REQUEST_REFUSED, &[("request", &id), ("why", &why), ("version", &routing.version)]);
 }
 
-async fn dispatch(node: &Arc<EntryNode>, call: FrontCall, request: ClientRequest) -> Response<ReplyBody> {
+async fn dispatch(node: &Arc<EntryNode>, call: ClientOperation, request: ClientRequest) -> Response<ReplyBody> {
     match call {
-        FrontCall::ReadResults { job, from } => job_calls::read_results(node, &job, from, &request).await,
-        FrontCall::ReadItem { job, item } => job_calls::read_item(node, &job, &item, &request).await,
-        FrontCall::EndJob { job } => job_calls::end_job(node, &job, &request).await,
-        FrontCall::Unknown => own_reply(StatusCode::NOT_FOUND, request.head.request_id.as_ref()),
-        FrontCall::Routed => serve_routed(node, request).await,
+        ClientOperation::ReadResults { job, offset } => job_calls::read_results(node, &job, offset, &request).await,
+        ClientOperation::ReadItem { job, item } => job_calls::read_item(node, &job, &item, &request).await,
+        ClientOperation::EndJob { job } => job_calls::end_job(node, &job, &request).await,
+        ClientOperation::Unknown => own_reply(StatusCode::NOT_FOUND, request.head.request_id.as_ref()),
+        ClientOperation::Routed => serve_routed(node, request).await,
     }
 }
 
--- a/crates/trestlerackd/src/entry/item_run.rs
+++ b/crates/trestlerackd/src/entry/item_run.rs
@@ -16,7 +16,7 @@
 use trestlerack::request::{JobItem, RunEnd, RunKind};
 use trestlerack::version::WeightVersion;
 use trestlerack::{Name, event};
-use trestlerack_platform::{EngineRequest, EventDecoder};
+use trestlerack_platform::{EventDecoder, ServerRequest};
 
 /// Time from which a run that ended whole is logged too.
 const LONG_RUN: Duration = Duration::from_secs(3);
@@ -91,7 +91,7 @@
         }
         RunKind::Speculative => (None, None),
     };
-    let request = EngineRequest {
+    let request = ServerRequest {
         method: Method::POST,
         path: &item.path,
         host: &driver.spec.host,
@@ -209,7 +209,7 @@
     node.balancer.lock().unwrap().succeeded(&instance);
     suspects::answered(node, &ticket);
     if !head.is_closing {
-        node.pool.keep(lease, head.idle_limit);
+        node.pool.keep(lease, head.idle_timeout);
     }
     (RunEnd::Complete, String::new())
 }
--- a/crates/trestlerackd/src/entry/job_calls.rs
+++ b/crates/trestlerackd/src/entry/job_calls.rs
@@ -87,7 +87,7 @@
     from: usize,
     request: &ClientRequest,
 ) -> Response<ReplyBody> {
-    let deadline = node.now() + request.head.poll_time;
+    let deadline = node.now() + request.head.poll_timeout;
     if let Err(doubt) = find_own_job(node, job, request).await {
         return doubt_reply(&doubt, request, job);
     }
@@ -106,8 +106,8 @@
     if view.head.recorded > from && results.is_empty() {
         return doubt_reply(&JobDoubt::Unsure, request, job);
     }
-    let page = platform::JobRead { total: view.head.total, from, results };
-    match platform::encode_page(&page) {
+    let page = platform::ResultPage { total: view.head.total, offset: from, results };
+    match platform::encode_result_page(&page) {
         Ok(body) => json_reply(body, request),
         Err(error) => {
             logs::write(event::JOB_READ_FAILED, &[("job", job), ("why", &error)]);
--- a/crates/trestlerackd/src/entry/plain.rs
+++ b/crates/trestlerackd/src/entry/plain.rs
@@ -16,7 +16,7 @@
 use trestlerack::request::RequestFingerprint;
 use trestlerack::version::{RequestRoute, RouteKind};
 use trestlerack::{Name, Timestamp, event};
-use trestlerack_platform::{self as platform, EngineRequest};
+use trestlerack_platform::{self as platform, ServerRequest};
 
 /// Target latencies after which a repeatable request is tried at another server.
 const PATIENCE_FACTOR: u32 = 3;
@@ -289,10 +289,10 @@
     Some(ServerTicket::new(node, entry, fingerprint).holding(tokens))
 }
 
-pub fn engine_request<'a>(request: &'a ClientRequest, instance: &'a str, left: Duration) -> EngineRequest<'a> {
+pub fn engine_request<'a>(request: &'a ClientRequest, instance: &'a str, left: Duration) -> ServerRequest<'a> {
     let mut headers = HeaderMap::new();
     copy_headers(&request.headers, &mut headers);
-    EngineRequest {
+    ServerRequest {
         method: request.method.clone(),
         path: &request.path_and_query,
         host: &request.host,
--- a/crates/trestlerackd/src/entry/score_calls.rs
+++ b/crates/trestlerackd/src/entry/score_calls.rs
@@ -17,7 +17,7 @@
 use trestlerack::request::{RequestContent, RequestFingerprint, ScoreCall};
 use trestlerack::version::RequestRoute;
 use trestlerack::{Name, Timestamp, event};
-use trestlerack_platform::EngineRequest;
+use trestlerack_platform::ServerRequest;
 
 /// Most servers that work on one call at a time. A second one gets it when the first takes longer
 /// than is usual, and the first goes on: a call that takes long by itself would never end if it
@@ -220,7 +220,7 @@
     let (instance, service) = (ticket.server.instance.clone(), ticket.server.service.clone());
     let watch = AnswerWatch::start(node);
     let left = deadline.since(watch.started);
-    let request = EngineRequest {
+    let request = ServerRequest {
         method: Method::POST,
         path: &call.path,
         host: &call.host,
--- a/crates/trestlerackd/src/entry/store.rs
+++ b/crates/trestlerackd/src/entry/store.rs
@@ -51,7 +51,7 @@
     }
 
     async fn exchange(&self, call: &StoreCall) -> Result<StoreReply, StoreError> {
-        let mut request = platform::encode_call(call).map_err(|_| StoreError::Unavailable)?;
+        let mut request = platform::encode_store_call(call).map_err(|_| StoreError::Unavailable)?;
         let host = self.address.parse().map_err(|_| StoreError::Unavailable)?;
         request.headers_mut().insert(header::HOST, host);
         self.calls.fetch_add(1, Ordering::Relaxed);
@@ -61,12 +61,12 @@
             Err(ExchangeError::NoAnswer(_)) => return Err(StoreError::Unknown),
         };
         let (parts, body) = response.into_parts();
-        let head = platform::decode_reply_head(&parts.headers);
+        let head = platform::decode_response_head(&parts.headers);
         let body = Limited::new(body, MAX_REPLY).collect().await.map_err(|_| StoreError::Unknown)?.to_bytes();
         if !head.is_closing {
-            self.pool.keep(lease, head.idle_limit);
+            self.pool.keep(lease, head.idle_timeout);
         }
-        platform::decode_reply(call, parts.status, body)
+        platform::decode_store_reply(call, parts.status, body)
     }
 
     /// Makes a call within `limit`.
--- a/crates/trestlerackd/src/entry/streams.rs
+++ b/crates/trestlerackd/src/entry/streams.rs
@@ -156,7 +156,7 @@
         suspects::answered(&self.node, &self.open.ticket);
         self.node.balancer.lock().unwrap().succeeded(&self.open.ticket.server.instance);
         if !self.open.head.is_closing {
-            self.node.pool.keep(self.open.lease, self.open.head.idle_limit);
+            self.node.pool.keep(self.open.lease, self.open.head.idle_timeout);
         }
     }
 
