--- a/crates/trestlerackd/src/entry/callers.rs
+++ b/crates/trestlerackd/src/entry/callers.rs
@@ -1,7 +1,7 @@
 //! Tells for which customer a request is served, by the newest configuration that can be had.
 
-use super::feeds;
 use super::node::EntryNode;
+use super::table_watch;
 use crate::process::clock;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -76,7 +76,7 @@
     let is_due = refresh.gate.lock().unwrap().try_start(node.now());
     let flight = refresh.flight.lock().await;
     if is_due {
-        let read = clock::timeout(REFRESH_TIMEOUT, feeds::read_configuration(node)).await;
+        let read = clock::timeout(REFRESH_TIMEOUT, table_watch::read_configuration(node)).await;
         refresh.is_fresh.store(matches!(read, Ok(Ok(()))), Ordering::Relaxed);
     }
     drop(flight);
--- a/crates/trestlerackd/src/entry/feed_relay.rs
+++ b/crates/trestlerackd/src/entry/feed_relay.rs
@@ -1,8 +1,8 @@
 //! Hears of changes of the store's tables from a follower, and tells other nodes of them.
 
-use super::levels::{self, FOLLOWED_TABLES};
+use super::follower_state::{self, FOLLOWED_TABLES};
 use super::node::EntryNode;
-use super::{feeds, server_feed, tables};
+use super::{server_discovery, table_watch, tables};
 use crate::process::{clock, logs};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -126,13 +126,13 @@
 pub async fn keep_level(node: Arc<EntryNode>) {
     let mut state = RelayState::default();
     if clock::timeout(START_TIME, start_from_seeds(&node, &mut state)).await.is_err() {
-        levels::set_direct(&node, true, "no seed answers");
+        follower_state::set_direct(&node, true, "no seed answers");
     }
     loop {
-        let is_chosen = levels::decide(&node);
+        let is_chosen = follower_state::decide(&node);
         let is_forced = state.direct_until.is_some_and(|until| node.now() < until);
         if is_chosen || is_forced {
-            levels::set_direct(&node, true, if is_chosen { "it is a follower" } else { "no follower answers" });
+            follower_state::set_direct(&node, true, if is_chosen { "it is a follower" } else { "no follower answers" });
             state = RelayState { direct_until: state.direct_until, ..RelayState::default() };
             clock::sleep(LOOK_INTERVAL).await;
             continue;
@@ -158,7 +158,7 @@
         }
         break;
     }
-    levels::set_direct(node, true, "it starts");
+    follower_state::set_direct(node, true, "it starts");
 }
 
 /// Asks a follower for changes once.
@@ -207,7 +207,7 @@
 
 fn followers_in_turn(node: &EntryNode) -> Vec<Name> {
     let own = FollowerCandidate { name: node.settings.name.clone(), zone: node.settings.zone.clone(), capacity: 0 };
-    let mut followers = levels::level_nodes(node);
+    let mut followers = follower_state::level_nodes(node);
     followers.retain(|follower| node.levels.is_follower(&follower.name));
     let order = follower_order(&own, &followers);
     order.iter().filter_map(|name| node.peers.get(name).map(|row| row.address)).collect()
@@ -222,7 +222,7 @@
 /// Takes over what a follower tells; the question was sent at `asked_at`.
 fn take_in(node: &Arc<EntryNode>, state: &mut RelayState, follower: &Name, changes: FeedChanges, asked_at: Timestamp) {
     let FeedChanges { rows, place, is_whole, part, age_ms, is_out, state_version } = changes;
-    levels::set_direct(node, false, "a follower answers");
+    follower_state::set_direct(node, false, "a follower answers");
     state.heard = Some((follower.clone(), place));
     let (mut servers, mut states, mut operators) = (Vec::new(), Vec::new(), Vec::new());
     for row in rows {
@@ -235,17 +235,17 @@
     if is_whole {
         forget_missing(node, &states, state_version);
     }
-    feeds::apply_rows(node, platform::OPERATOR_TABLE, operators);
-    feeds::apply_rows(node, tables::STATE, states);
+    table_watch::apply_rows(node, platform::OPERATOR_TABLE, operators);
+    table_watch::apply_rows(node, tables::STATE, states);
     if is_whole {
         node.has_state.store(true, Ordering::Relaxed);
     }
     match part {
         Some(part) => {
-            levels::take_counts(node, part.counts, part.drawn);
-            server_feed::replace(node, part.rows);
+            follower_state::take_counts(node, part.counts, part.drawn);
+            server_discovery::replace(node, part.rows);
         }
-        None => feeds::apply_rows(node, platform::SERVER_TABLE, servers),
+        None => table_watch::apply_rows(node, platform::SERVER_TABLE, servers),
     }
     node.suspects.set_cut_off(is_out);
     let mut end_news = node.end_news.lock().unwrap();
@@ -333,7 +333,7 @@
     }
     let is_for_all = |row: &&StoredRow| {
         let log = node.levels.log();
-        table != tables::STATE || levels::is_for_all(row, log.get(table, &row.partition, &row.key))
+        table != tables::STATE || follower_state::is_for_all(row, log.get(table, &row.partition, &row.key))
     };
     let rows: Vec<StoredRow> = rows.iter().filter(is_for_all).cloned().collect();
     node.levels.put(rows);
--- a/crates/trestlerackd/src/entry/levels.rs
+++ b/crates/trestlerackd/src/entry/follower_state.rs
@@ -1,7 +1,7 @@
 //! Whether this node follows the store or hears of changes from a node that does, and what it passes on.
 
 use super::node::EntryNode;
-use super::{server_feed, tables};
+use super::{server_discovery, tables};
 use crate::process::logs;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -288,7 +288,7 @@
         *node.levels.drawn_at.lock().unwrap() = node.now();
         node.levels.drawn.store(rand::random(), Ordering::Relaxed);
         node.levels.tell();
-        server_feed::refresh_board(node);
+        server_discovery::refresh_board(node);
     }
 }
 
--- a/crates/trestlerackd/src/entry/job_driver.rs
+++ b/crates/trestlerackd/src/entry/job_driver.rs
@@ -2,7 +2,7 @@
 
 use super::drive_mode::DriveMode;
 use super::node::EntryNode;
-use super::{job_records, job_runs, job_scores, job_texts, run_moves, score_calls, server_feed};
+use super::{job_records, job_runs, job_scores, job_texts, run_moves, score_calls, server_discovery};
 use crate::process::clock;
 use crate::process::logs;
 use std::collections::{BTreeSet, HashMap, HashSet};
@@ -216,7 +216,7 @@
     }
     let driver = Arc::new(JobDriver::new(spec.clone(), &head, ledger, memory));
     node.drivers.lock().unwrap().insert(spec.id.clone(), driver.clone());
-    server_feed::hold_driven(&node);
+    server_discovery::hold_driven(&node);
     // News of the job's end that came after its rows were read found no driver to tell.
     if node.job(&spec.id).is_some_and(|view| view.is_ended) {
         driver.end();
--- a/crates/trestlerackd/src/entry/mod.rs
+++ b/crates/trestlerackd/src/entry/mod.rs
@@ -15,7 +15,7 @@
 mod engine_calls;
 mod engine_memory;
 mod feed_relay;
-mod feeds;
+mod follower_state;
 mod front;
 mod held;
 mod item_run;
@@ -27,7 +27,6 @@
 mod job_scores;
 mod job_texts;
 mod lease_book;
-mod levels;
 mod metrics;
 mod news;
 mod node;
@@ -42,8 +41,8 @@
 mod score_calls;
 mod second_attempts;
 mod server_answers;
+mod server_discovery;
 mod server_end;
-mod server_feed;
 mod server_ticket;
 mod shares;
 mod status;
@@ -51,6 +50,7 @@
 mod store;
 mod streams;
 mod suspects;
+mod table_watch;
 mod tables;
 mod trail;
 mod urgency;
@@ -93,7 +93,7 @@
         tokio::spawn(metrics::serve(node.clone(), listener));
     }
     for table in [platform::OPERATOR_TABLE, platform::SERVER_TABLE, tables::STATE] {
-        tokio::spawn(feeds::follow(node.clone(), table));
+        tokio::spawn(table_watch::follow(node.clone(), table));
     }
     tokio::spawn(feed_relay::keep_level(node.clone()));
     tokio::spawn(note_suspensions(node.clone()));
--- a/crates/trestlerackd/src/entry/node.rs
+++ b/crates/trestlerackd/src/entry/node.rs
@@ -2,10 +2,10 @@
 
 use super::callers::KeyRefresh;
 use super::duties::UsageBook;
+use super::follower_state::LevelDesk;
 use super::held::HeldDesk;
 use super::job_driver::JobDriver;
 use super::lease_book::LeaseBook;
-use super::levels::LevelDesk;
 use super::metrics::EntryMetrics;
 use super::peers::PeerClient;
 use super::pool::ConnectionPool;
--- a/crates/trestlerackd/src/entry/order_lease.rs
+++ b/crates/trestlerackd/src/entry/order_lease.rs
@@ -2,7 +2,7 @@
 
 use super::node::EntryNode;
 use super::weights::{self, OrderTasks, ServicePlan};
-use super::{feeds, tables};
+use super::{table_watch, tables};
 use crate::process::clock;
 use crate::process::logs;
 use std::collections::BTreeMap;
@@ -116,7 +116,7 @@
 /// before ordered last decides how long its engines are left alone.
 async fn read_orders(node: &Arc<EntryNode>) -> Result<(), StoreError> {
     for row in tables::read_all(&node.store, tables::STATE, tables::ENGINES).await? {
-        feeds::learn_assignment(node, &row.key, tables::decode(&row.value)?);
+        table_watch::learn_assignment(node, &row.key, tables::decode(&row.value)?);
     }
     Ok(())
 }
--- a/crates/trestlerackd/src/entry/feeds.rs
+++ b/crates/trestlerackd/src/entry/table_watch.rs
@@ -1,7 +1,7 @@
 //! Follows the store's tables: the operator's, service discovery's and the system's own.
 
 use super::node::EntryNode;
-use super::{feed_relay, levels, server_feed, suspects, tables};
+use super::{feed_relay, follower_state, server_discovery, suspects, tables};
 use crate::process::clock;
 use crate::process::logs;
 use futures_util::{StreamExt, TryStreamExt, stream};
@@ -38,7 +38,7 @@
             known = None;
             node.levels.wait_direct().await;
         }
-        if levels::is_unread(&node, table) {
+        if follower_state::is_unread(&node, table) {
             known = None;
         }
         let asked_at = node.now();
@@ -132,7 +132,7 @@
     let pages: Vec<Vec<StoredRow>> = stream::iter(reads).buffer_unordered(READS_AT_ONCE).try_collect().await?;
     let all: Vec<StoredRow> = pages.into_iter().flatten().collect();
     match table {
-        platform::SERVER_TABLE => server_feed::replace(node, all),
+        platform::SERVER_TABLE => server_discovery::replace(node, all),
         tables::STATE => {
             feed_relay::pass_on_whole(node, table, &all);
             let registered = all.iter().filter(|row| is_node_partition(&row.partition)).map(|row| row.key.clone());
@@ -184,7 +184,7 @@
     }
     match table {
         platform::OPERATOR_TABLE => rows.iter().for_each(|row| apply_operator_row(node, row)),
-        platform::SERVER_TABLE => server_feed::apply_rows(node, rows),
+        platform::SERVER_TABLE => server_discovery::apply_rows(node, rows),
         _ => rows.iter().for_each(|row| apply_state_row(node, row)),
     }
 }
@@ -261,7 +261,7 @@
 /// Takes over what an engine was ordered: it takes no new work until it holds the version.
 pub fn learn_assignment(node: &Arc<EntryNode>, instance: &Name, assignment: EngineAssignment) {
     node.board.lock().unwrap().assign(instance, Some(&assignment.model));
-    server_feed::hold_assigned(node, instance, &assignment.model);
+    server_discovery::hold_assigned(node, instance, &assignment.model);
     if assignment.version > 0 {
         let age = Duration::from_millis(node.store.clock_ms().saturating_sub(assignment.ordered_ms));
         let until = node.now() + Duration::from_millis(assignment.load_ms).saturating_sub(age);
