--- a/crates/trestlerackd/src/entry/adoption.rs
+++ b/crates/trestlerackd/src/entry/adoption.rs
@@ -50,7 +50,7 @@
     loop {
         clock::sleep(LOOK_INTERVAL).await;
         // Only a node that follows the store sees each change of a job.
-        node.levels.wait_direct().await;
+        node.follower.wait_direct().await;
         if node.is_stopping() || node.routing().is_none() {
             continue;
         }
@@ -144,7 +144,7 @@
 /// Returns this node's place in the line of a job's successors.
 fn rank(node: &EntryNode, job: &Name, owner: &Name) -> usize {
     let mut others = node.peers.capacities();
-    others.retain(|(name, _)| name != owner && node.levels.is_follower(name));
+    others.retain(|(name, _)| name != owner && node.follower.is_follower(name));
     successor_rank(job, (&node.settings.name, node.settings.capacity()), &others)
 }
 
--- a/crates/trestlerackd/src/entry/duties/calls.rs
+++ b/crates/trestlerackd/src/entry/duties/calls.rs
@@ -1,4 +1,4 @@
-//! One call for a duty: only under a lease that is held, within the platform's rate.
+//! Calls to the platform for a duty, made only while this node holds the lease and within the platform's rate limit.
 
 use crate::entry::node::EntryNode;
 use crate::entry::pool::ExchangeError;
@@ -12,46 +12,48 @@
 use trestlerack::process::{DutyGate, DutySettings};
 use trestlerack_platform::{self as platform, DutyAnswer, DutyHolder};
 
-/// Time after which a call counts as lost, half a second more than a platform takes that is slowed
-/// down by a hundred times.
+/// Time after which a call counts as lost. It is half a second more than the platform takes when it is slowed down
+/// a hundredfold.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Longest answer, in bytes; answers seen are empty.
-const MAX_ANSWER: usize = 64 * 1024;
+/// Maximum size of a response body, in bytes. The platform's response bodies are empty.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024;
 
-/// Share of the platform's rate that one duty uses: there are two, and two holders may follow each
-/// other closely.
+/// Fraction of the platform's rate limit that one duty uses. There are two duties, and the calls of two lease holders
+/// may follow each other closely.
 const RATE_SHARE: f64 = 0.25;
 
-/// Makes the calls of one duty.
+/// Makes the platform calls of one duty.
 pub struct DutyCaller {
     gate: Mutex<DutyGate>,
-    pause: Duration,
-    not_before: Mutex<Timestamp>,
+    /// Minimum time between two calls.
+    min_interval: Duration,
+    /// Earliest time of the next call.
+    next_call_at: Mutex<Timestamp>,
 }
 
 impl DutyCaller {
-    /// Builds the caller of a process that starts now.
+    /// Builds the caller of a process that is starting; calls are delayed as after a handover of the lease.
     pub fn new(node: &EntryNode) -> Self {
         let handover = node.bounds().order_handover;
         let settings = DutySettings { call_time: CALL_TIMEOUT, handover };
         Self {
             gate: Mutex::new(DutyGate::new(settings, node.now())),
-            pause: Duration::from_secs_f64(1.0 / (node.settings.duty_calls_per_s * RATE_SHARE)),
-            not_before: Mutex::new(Timestamp::default()),
+            min_interval: Duration::from_secs_f64(1.0 / (node.settings.duty_calls_per_s * RATE_SHARE)),
+            next_call_at: Mutex::new(Timestamp::default()),
         }
     }
 
-    /// Makes a call, or returns `None` if it must not be made now.
+    /// Makes a call and returns its fencing token and answer, or returns `None` if it must not be made now.
     pub async fn call(
         &self,
         node: &Arc<EntryNode>,
         encode: impl FnOnce(DutyHolder<'_>) -> Result<Request<Bytes>, platform::WireError>,
     ) -> Option<(u64, DutyAnswer)> {
         let now = node.now();
-        // Checked next to the send, with nothing to wait for in between.
+        // The lease is checked right before the call is sent, without an await in between.
         let fence = node.lease.fence(now).filter(|_| !node.is_stopping())?;
-        if now < *self.not_before.lock().unwrap() || !self.gate.lock().unwrap().may_call(now, fence) {
+        if now < *self.next_call_at.lock().unwrap() || !self.gate.lock().unwrap().may_call(now, fence) {
             return None;
         }
         let holder = DutyHolder { node: &node.settings.name, fence };
@@ -60,22 +62,22 @@
             request.headers_mut().insert(header::HOST, host);
         }
         self.gate.lock().unwrap().record_call(now, fence);
-        *self.not_before.lock().unwrap() = now + self.pause;
+        *self.next_call_at.lock().unwrap() = now + self.min_interval;
         let answer = clock::timeout(CALL_TIMEOUT, exchange(node, request)).await;
         Some((fence, answer.unwrap_or(DutyAnswer::Unknown)))
     }
 }
 
 async fn exchange(node: &Arc<EntryNode>, request: Request<Bytes>) -> DutyAnswer {
-    let (response, lease) = match node.pool.send(&node.settings.duty_service, request, false).await {
+    let (response, connection) = match node.pool.send(&node.settings.duty_service, request, false).await {
         Ok(answer) => answer,
         Err(ExchangeError::NotSent(_) | ExchangeError::NoAnswer(_)) => return DutyAnswer::Unknown,
     };
     let (parts, body) = response.into_parts();
     let head = platform::decode_reply_head(&parts.headers);
-    let is_whole = Limited::new(body, MAX_ANSWER).collect().await.is_ok();
-    if is_whole && !head.is_closing {
-        node.pool.keep(lease, head.idle_limit);
+    let is_complete = Limited::new(body, MAX_RESPONSE_BYTES).collect().await.is_ok();
+    if is_complete && !head.is_closing {
+        node.pool.keep(connection, head.idle_limit);
     }
     platform::decode_duty_answer(parts.status)
 }
--- a/crates/trestlerackd/src/entry/duties/engines.rs
+++ b/crates/trestlerackd/src/entry/duties/engines.rs
@@ -1,4 +1,4 @@
-//! Orders engines from the platform, on the holder of the lease.
+//! Orders engines from the platform; runs on the lease holder.
 
 use super::calls::DutyCaller;
 use crate::entry::node::EntryNode;
@@ -14,77 +14,78 @@
 use trestlerack::{Name, event};
 use trestlerack_platform::{self as platform, DutyAnswer};
 
-/// Interval between two looks.
-const LOOK_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between two checks of the services.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What the holder knows of one service.
+/// Engine orders of one service, as the lease holder knows them.
 #[derive(Default)]
-struct ServiceDesk {
-    fleet: EngineFleet,
+struct ServiceState {
+    controller: EngineFleet,
+    /// Orders as stored, and the version of that row.
     row: FleetRow,
     version: u64,
-    /// Zones whose order the platform may not have.
+    /// Zones whose order the platform may not have received.
     unsent: Vec<Name>,
 }
 
-/// Keeps the engines of all services while this node holds the lease, until the process ends.
-pub async fn keep_engines(node: Arc<EntryNode>) {
+/// Keeps the ordered number of engines for all services while this node holds the lease, until the process ends.
+pub async fn maintain_engines(node: Arc<EntryNode>) {
     let caller = DutyCaller::new(&node);
-    let mut held_fence = None;
-    let mut desks: BTreeMap<Name, ServiceDesk> = BTreeMap::new();
+    let mut current_fence = None;
+    let mut states: BTreeMap<Name, ServiceState> = BTreeMap::new();
     loop {
-        clock::sleep(LOOK_INTERVAL).await;
+        clock::sleep(CHECK_INTERVAL).await;
         let fence = node.lease.fence(node.now());
-        if fence != held_fence {
-            desks.clear();
-            held_fence = fence;
+        if fence != current_fence {
+            states.clear();
+            current_fence = fence;
         }
         let Some(routing) = node.routing().filter(|_| fence.is_some()) else { continue };
         for service in routing.services.values() {
-            let Some(terms) = &service.scaling else { continue };
-            if let Err(error) = keep_service(&node, &caller, &service.name, terms, &mut desks).await {
+            let Some(scaling) = &service.scaling else { continue };
+            if let Err(error) = maintain_service(&node, &caller, &service.name, scaling, &mut states).await {
                 logs::write(event::ROW_REFUSED, &[("key", &tables::ENGINE_ORDERS), ("why", &error)]);
             }
         }
     }
 }
 
-async fn keep_service(
+async fn maintain_service(
     node: &Arc<EntryNode>,
     caller: &DutyCaller,
     service: &Name,
-    terms: &ScalingTerms,
-    desks: &mut BTreeMap<Name, ServiceDesk>,
+    scaling: &ScalingTerms,
+    states: &mut BTreeMap<Name, ServiceState>,
 ) -> Result<(), StoreError> {
-    if !desks.contains_key(service) {
-        let desk = open(node, service).await?;
-        desks.insert(service.clone(), desk);
+    if !states.contains_key(service) {
+        let state = load_state(node, service).await?;
+        states.insert(service.clone(), state);
     }
-    let Some(desk) = desks.get_mut(service) else { return Ok(()) };
-    let Some(zones) = listed_engines(node, service) else { return Ok(()) };
+    let Some(state) = states.get_mut(service) else { return Ok(()) };
+    let Some(zones) = count_engines(node, service) else { return Ok(()) };
     let (now, clock_ms) = (node.now(), node.store.clock_ms());
-    if let Some(next) = desk.fleet.decide(now, clock_ms, &zones, terms, &desk.row) {
-        store(node, service, desk, next).await?;
+    if let Some(new_row) = state.controller.decide(now, clock_ms, &zones, scaling, &state.row) {
+        store_orders(node, service, state, new_row).await?;
     }
-    send_orders(node, caller, service, desk).await;
+    send_orders(node, caller, service, state).await;
     Ok(())
 }
 
-/// Reads what the holder before ordered. Its orders are sent again, which changes nothing where
-/// the platform has them.
-async fn open(node: &Arc<EntryNode>, service: &Name) -> Result<ServiceDesk, StoreError> {
+/// Reads the orders of the previous lease holder. They are sent again, which has no effect if the platform already
+/// has them.
+async fn load_state(node: &Arc<EntryNode>, service: &Name) -> Result<ServiceState, StoreError> {
     let rows = tables::read_all(&node.store, tables::ENGINE_ORDERS, tables::ENGINE_ORDERS).await?;
-    let fleet = EngineFleet::new(FleetSettings::default());
+    let controller = EngineFleet::new(FleetSettings::default());
     let Some(row) = rows.into_iter().find(|row| row.key == *service) else {
-        return Ok(ServiceDesk { fleet, ..ServiceDesk::default() });
+        return Ok(ServiceState { controller, ..ServiceState::default() });
     };
-    let held: FleetRow = tables::decode(&row.value)?;
-    let unsent = held.orders.keys().cloned().collect();
-    Ok(ServiceDesk { fleet, row: held, version: row.version, unsent })
+    let stored: FleetRow = tables::decode(&row.value)?;
+    let unsent = stored.orders.keys().cloned().collect();
+    Ok(ServiceState { controller, row: stored, version: row.version, unsent })
 }
 
-/// Counts the engines of a service by zone, unless the list is in doubt.
-fn listed_engines(node: &EntryNode, service: &Name) -> Option<BTreeMap<Name, ZoneEngines>> {
+/// Counts the engines of a service by zone; `None` while the list of servers may be incomplete.
+fn count_engines(node: &EntryNode, service: &Name) -> Option<BTreeMap<Name, ZoneEngines>> {
     let registry = node.registry.lock().unwrap();
     if registry.may_be_incomplete() {
         return None;
@@ -101,40 +102,41 @@
     Some(zones)
 }
 
-/// Stores what is to be ordered before it is sent.
-async fn store(
+/// Stores new orders, which must be done before they are sent.
+async fn store_orders(
     node: &Arc<EntryNode>,
     service: &Name,
-    desk: &mut ServiceDesk,
-    next: FleetRow,
+    state: &mut ServiceState,
+    new_row: FleetRow,
 ) -> Result<(), StoreError> {
     let transaction = RowTransaction::new(tables::ENGINE_ORDERS)
-        .expect(tables::ENGINE_ORDERS, service, desk.version)
-        .put(tables::ENGINE_ORDERS, service, tables::encode(&next));
+        .expect(tables::ENGINE_ORDERS, service, state.version)
+        .put(tables::ENGINE_ORDERS, service, tables::encode(&new_row));
     match node.store.call(&StoreCall::Commit(transaction)).await? {
-        StoreReply::Committed(moment) => desk.version = moment.version,
+        StoreReply::Committed(moment) => state.version = moment.version,
         StoreReply::Conflict(rows) => {
-            // A lost reply of an own write, or another holder; what is stored is looked at next time.
+            // The reply to an earlier write was lost, or another holder wrote. The next check starts from the
+            // stored row.
             let row = rows.into_iter().find(|row| row.key == *service).ok_or(StoreError::Unknown)?;
-            desk.row = tables::decode(&row.value)?;
-            desk.version = row.version;
-            desk.unsent = desk.row.orders.keys().cloned().collect();
+            state.row = tables::decode(&row.value)?;
+            state.version = row.version;
+            state.unsent = state.row.orders.keys().cloned().collect();
             return Ok(());
         }
         _ => return Err(StoreError::Unknown),
     }
-    let is_new = |(zone, order): (&Name, _)| (desk.row.orders.get(zone) != Some(order)).then(|| zone.clone());
-    let news: Vec<Name> = next.orders.iter().filter_map(is_new).collect();
-    desk.unsent.retain(|zone| next.orders.contains_key(zone) && !news.contains(zone));
-    desk.unsent.extend(news);
-    desk.row = next;
+    let is_new = |(zone, order): (&Name, _)| (state.row.orders.get(zone) != Some(order)).then(|| zone.clone());
+    let new_zones: Vec<Name> = new_row.orders.iter().filter_map(is_new).collect();
+    state.unsent.retain(|zone| new_row.orders.contains_key(zone) && !new_zones.contains(zone));
+    state.unsent.extend(new_zones);
+    state.row = new_row;
     Ok(())
 }
 
-async fn send_orders(node: &Arc<EntryNode>, caller: &DutyCaller, service: &Name, desk: &mut ServiceDesk) {
-    let Some(zone) = desk.unsent.first().cloned() else { return };
-    let Some(order) = desk.row.orders.get(&zone).copied() else {
-        desk.unsent.remove(0);
+async fn send_orders(node: &Arc<EntryNode>, caller: &DutyCaller, service: &Name, state: &mut ServiceState) {
+    let Some(zone) = state.unsent.first().cloned() else { return };
+    let Some(order) = state.row.orders.get(&zone).copied() else {
+        state.unsent.remove(0);
         return;
     };
     let encode = |holder: platform::DutyHolder<'_>| platform::encode_engines(holder, service, &zone, order.engines);
@@ -149,12 +151,12 @@
     logs::write(event::ENGINES_ORDERED, &fields);
     match answer {
         DutyAnswer::Done => {
-            desk.unsent.remove(0);
+            state.unsent.remove(0);
         }
         DutyAnswer::NoneLeft | DutyAnswer::Refused => {
-            desk.unsent.remove(0);
-            desk.row.orders.remove(&zone);
-            desk.fleet.refused(node.now(), &zone);
+            state.unsent.remove(0);
+            state.row.orders.remove(&zone);
+            state.controller.refused(node.now(), &zone);
         }
         DutyAnswer::RateLimited | DutyAnswer::Unknown => {}
     }
--- a/crates/trestlerackd/src/entry/duties/usage_count.rs
+++ b/crates/trestlerackd/src/entry/duties/usage_count.rs
@@ -1,4 +1,4 @@
-//! Counts the requests of customers that began to run here, and tells the holder of the lease.
+//! Counts the customers' requests that started to run here, and sends the counts to the lease holder.
 
 use crate::entry::node::EntryNode;
 use crate::process::clock::{self, SystemClock};
@@ -9,101 +9,107 @@
 use trestlerack::process::{StableWallClock, UsageCollector, UsageCounter, UsageSender, UsageSettings, UsageSnapshot};
 use trestlerack::time::millis;
 
-/// Least time between two notes to the holder. The first request after a pause is told at once, so
-/// that a node that dies takes few with it.
-const TELL_PAUSE: Duration = Duration::from_millis(100);
+/// Minimum time between two messages to the lease holder. The first request after a pause is sent at once, so that
+/// few counts are lost if this node crashes.
+const MIN_SEND_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time after which notes are looked at without news, since the holder may have changed.
-const LOOK_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which unsent counts are checked without new requests, since the lease holder may have changed.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Pause after a holder that did not answer.
-const RETRY_PAUSE: Duration = Duration::from_millis(250);
+/// Delay before counts are sent again to a lease holder that did not respond.
+const RETRY_BACKOFF: Duration = Duration::from_millis(250);
 
-/// What this node counted, and what it was told by others as the holder of the lease.
-pub struct UsageBook {
-    /// Time since boot at which the book was opened.
+/// Usage counted by this node, and usage that other nodes sent to it as the lease holder.
+pub struct UsageTracker {
+    /// Time since boot at which the tracker was created.
     started: Duration,
-    wall: Mutex<StableWallClock>,
+    wall_clock: Mutex<StableWallClock>,
     settings: Option<UsageSettings>,
     counter: Mutex<UsageCounter>,
-    /// Notes of all nodes; complete at the holder only.
-    pub desk: Mutex<UsageCollector>,
-    news: Notify,
+    /// Snapshots of all nodes; complete only on the lease holder.
+    pub collector: Mutex<UsageCollector>,
+    /// Signals a new count to send.
+    changed: Notify,
 }
 
-impl UsageBook {
-    /// Opens a book; without settings nothing is counted.
+impl UsageTracker {
+    /// Builds a tracker, which counts nothing without settings.
     pub fn new(settings: Option<UsageSettings>) -> Self {
         Self {
             started: clock::since_boot(),
-            wall: Mutex::default(),
+            wall_clock: Mutex::default(),
             settings,
             counter: Mutex::default(),
-            desk: Mutex::default(),
-            news: Notify::new(),
+            collector: Mutex::default(),
+            changed: Notify::new(),
         }
     }
 
-    /// Returns the time of day in milliseconds.
+    /// Returns the time of day in milliseconds since the Unix epoch.
     pub fn wall_ms(&self) -> u64 {
-        self.wall
+        self.wall_clock
             .lock()
             .unwrap()
             .read(millis(clock::since_boot().saturating_sub(self.started)), SystemClock::unix_millis())
     }
 
-    /// Counts a request that began to run at a time of day.
-    pub fn count(&self, customer: &Name, began_ms: u64) {
+    /// Counts a request of a customer that started to run at a time of day.
+    pub fn count(&self, customer: &Name, started_ms: u64) {
         let Some(settings) = self.settings else { return };
-        self.counter.lock().unwrap().count(settings.window_at(began_ms), customer);
-        self.news.notify_one();
+        self.counter.lock().unwrap().count(settings.window_at(started_ms), customer);
+        self.changed.notify_one();
     }
 
-    /// Takes notes that a node tells.
-    pub fn take(&self, sender: &UsageSender, notes: Vec<UsageSnapshot>) {
-        let mut desk = self.desk.lock().unwrap();
-        for note in notes {
-            desk.merge(sender, note);
+    /// Merges the snapshots that a node sent.
+    pub fn merge(&self, sender: &UsageSender, snapshots: Vec<UsageSnapshot>) {
+        let mut collector = self.collector.lock().unwrap();
+        for snapshot in snapshots {
+            collector.merge(sender, snapshot);
         }
     }
 }
 
-/// Tells the holder of the lease what is counted here, until the process ends.
-pub async fn tell_holder(node: Arc<EntryNode>, settings: UsageSettings) {
+/// Sends the counts of this node to the lease holder until the process ends.
+pub async fn send_to_holder(node: Arc<EntryNode>, settings: UsageSettings) {
     let sender = UsageSender { node: node.settings.name.clone(), incarnation: node.incarnation };
-    let mut told_fence = None;
+    let mut last_fence = None;
     loop {
-        // Ends with news or with the interval; both lead to a look.
-        let _ = clock::timeout(LOOK_INTERVAL, node.usage.news.notified()).await;
+        // Ends with a new count or after the interval; unsent counts are checked in either case.
+        let _ = clock::timeout(CHECK_INTERVAL, node.usage.changed.notified()).await;
         let first_kept = settings.first_kept(node.usage.wall_ms());
         node.usage.counter.lock().unwrap().forget_before(first_kept);
-        node.usage.desk.lock().unwrap().forget_before(first_kept);
+        node.usage.collector.lock().unwrap().forget_before(first_kept);
         let Some(lease) = node.lease.row() else { continue };
-        if told_fence.replace(lease.fence) != Some(lease.fence) {
+        if last_fence.replace(lease.fence) != Some(lease.fence) {
             node.usage.counter.lock().unwrap().forget_acknowledged();
         }
-        let notes = node.usage.counter.lock().unwrap().unacknowledged();
-        if notes.is_empty() {
+        let snapshots = node.usage.counter.lock().unwrap().unacknowledged();
+        if snapshots.is_empty() {
             continue;
         }
-        if tell(&node, &lease.holder, &sender, &notes).await {
-            node.usage.counter.lock().unwrap().acknowledge(&notes);
-            clock::sleep(TELL_PAUSE).await;
+        if send_snapshots(&node, &lease.holder, &sender, &snapshots).await {
+            node.usage.counter.lock().unwrap().acknowledge(&snapshots);
+            clock::sleep(MIN_SEND_INTERVAL).await;
         } else {
-            clock::sleep(RETRY_PAUSE).await;
-            node.usage.news.notify_one();
+            clock::sleep(RETRY_BACKOFF).await;
+            node.usage.changed.notify_one();
         }
     }
 }
 
-/// Returns whether the holder has the notes.
-async fn tell(node: &Arc<EntryNode>, holder: &Name, sender: &UsageSender, notes: &[UsageSnapshot]) -> bool {
+/// Sends snapshots to the lease holder and returns whether it has received them.
+async fn send_snapshots(
+    node: &Arc<EntryNode>,
+    holder: &Name,
+    sender: &UsageSender,
+    snapshots: &[UsageSnapshot],
+) -> bool {
     if *holder == node.settings.name {
-        node.usage.take(sender, notes.to_vec());
+        node.usage.merge(sender, snapshots.to_vec());
         return true;
     }
     match node.peers.get(holder) {
-        Some(row) => node.peers.tell_usage(&row.address, sender, notes).await.is_some(),
+        Some(row) => node.peers.tell_usage(&row.address, sender, snapshots).await.is_some(),
         None => false,
     }
 }
--- a/crates/trestlerackd/src/entry/duties/usage_report.rs
+++ b/crates/trestlerackd/src/entry/duties/usage_report.rs
@@ -1,8 +1,8 @@
-//! Reports usage to the platform, on the holder of the lease.
+//! Reports usage to the platform; runs on the lease holder.
 //!
-//! The report of a window is stored on condition that there is none before it is first sent, so
-//! whoever sends it, now or again, sends the same. What nodes told is stored each second, because
-//! a node that died cannot tell it to the next holder.
+//! The report of a window is stored before it is first sent, on condition that none is stored yet, so that every holder
+//! and every retry sends the same report. The snapshots that nodes sent are stored each second, because a node that has
+//! crashed cannot send them to the next holder.
 
 use super::calls::DutyCaller;
 use crate::entry::node::EntryNode;
@@ -18,75 +18,77 @@
 use trestlerack::{Name, Timestamp, event};
 use trestlerack_platform::{self as platform, DutyAnswer};
 
-/// Interval between two looks.
-const LOOK_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between two checks for windows to report.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Interval at which what nodes told is stored. A holder that dies loses what nodes that die with it
-/// told since.
+/// Interval at which the snapshots that nodes sent are stored. If a holder and other nodes crash together, the counts
+/// that these nodes sent since the last save are lost.
 const SAVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Pause after a report that was not taken.
-const RETRY_PAUSE: Duration = Duration::from_millis(400);
+/// Delay before a report that was rejected for its rate or not answered is sent again.
+const RETRY_BACKOFF: Duration = Duration::from_millis(400);
 
-/// Windows that may be open at a time: the one that goes on and those that wait for their notes.
-const OPEN_WINDOWS: usize = 4;
+/// Maximum number of open windows: the current one and those that still wait for snapshots.
+const MAX_OPEN_WINDOWS: usize = 4;
 
-/// Begins the keys of reports.
+/// Prefix of the keys of reports.
 const REPORT_PREFIX: &str = "report-";
 
-/// Begins the keys of what nodes told of a window.
-const NOTES_PREFIX: &str = "notes-";
+/// Prefix of the keys of the snapshots of a window.
+const SNAPSHOTS_PREFIX: &str = "notes-";
 
-/// What the holder knows of the reports.
-struct ReportDesk {
+/// State of the reports on the lease holder.
+struct ReportState {
+    /// Fencing token of the lease under which the state was loaded.
     fence: u64,
-    /// Time of day from which nodes tell this holder.
-    listening_ms: u64,
-    /// First window whose report is not stored.
-    next: u64,
+    /// Time of day from which this holder receives snapshots, in milliseconds.
+    receiving_since_ms: u64,
+    /// First window whose report is not stored yet.
+    next_window: u64,
     /// First window whose report is stored even if it is empty.
     report_empty_from: u64,
-    /// Reports that the platform may not have.
+    /// Reports that the platform may not have received.
     unsent: BTreeMap<u64, UsageReport>,
-    /// Windows whose report the platform has and whose row does not say so.
+    /// Reports that the platform has received and whose rows are not yet marked as sent.
     unmarked: BTreeMap<u64, UsageReport>,
-    /// Rows of windows that are over.
-    old_keys: Vec<Name>,
+    /// Keys of rows of expired windows, which are removed with the next report.
+    expired_keys: Vec<Name>,
     saved_at: Timestamp,
+    /// Snapshots as last stored, by window.
     saved: BTreeMap<u64, WindowSnapshots>,
-    /// Keys under which notes were stored, by window.
-    note_keys: BTreeMap<u64, Vec<Name>>,
+    /// Keys under which snapshots were stored, by window.
+    snapshot_keys: BTreeMap<u64, Vec<Name>>,
     retry_at: Timestamp,
 }
 
-/// Reports while this node holds the lease, until the process ends.
-pub async fn report(node: Arc<EntryNode>, settings: UsageSettings) {
+/// Reports usage while this node holds the lease, until the process ends.
+pub async fn report_usage(node: Arc<EntryNode>, settings: UsageSettings) {
     let caller = DutyCaller::new(&node);
-    let mut desk: Option<ReportDesk> = None;
+    let mut state: Option<ReportState> = None;
     loop {
-        clock::sleep(LOOK_INTERVAL).await;
+        clock::sleep(CHECK_INTERVAL).await;
         let Some(fence) = node.lease.fence(node.now()) else {
-            desk = None;
+            state = None;
             continue;
         };
-        if desk.as_ref().is_none_or(|desk| desk.fence != fence) {
-            desk = match open(&node, settings, fence).await {
-                Ok(opened) => Some(opened),
+        if state.as_ref().is_none_or(|state| state.fence != fence) {
+            state = match load_state(&node, settings, fence).await {
+                Ok(loaded) => Some(loaded),
                 Err(error) => {
                     logs::write(event::ROW_REFUSED, &[("key", &tables::USAGE), ("why", &error)]);
                     None
                 }
             };
         }
-        let Some(desk) = &mut desk else { continue };
+        let Some(state) = &mut state else { continue };
         let wall_ms = node.usage.wall_ms();
-        while settings.should_sum(desk.next, wall_ms, desk.listening_ms) {
-            if !store_report(&node, settings, desk, wall_ms).await {
+        while settings.should_sum(state.next_window, wall_ms, state.receiving_since_ms) {
+            if !store_report(&node, settings, state, wall_ms).await {
                 break;
             }
         }
-        send_reports(&node, &caller, desk).await;
-        save_notes(&node, desk).await;
+        send_reports(&node, &caller, state).await;
+        save_snapshots(&node, state).await;
     }
 }
 
@@ -94,77 +96,77 @@
     format!("{REPORT_PREFIX}{window:020}").into()
 }
 
-fn notes_key(window: u64) -> Name {
-    format!("{NOTES_PREFIX}{window:020}").into()
+fn snapshots_key(window: u64) -> Name {
+    format!("{SNAPSHOTS_PREFIX}{window:020}").into()
 }
 
-/// Returns the window that a key names, with what follows the number.
+/// Returns the number of the window in a key; the key may have more after the number.
 fn window_of(key: &str, prefix: &str) -> Option<u64> {
     key.strip_prefix(prefix)?.get(..20)?.parse().ok()
 }
 
-/// Reads what the holders before have stored.
-async fn open(node: &Arc<EntryNode>, settings: UsageSettings, fence: u64) -> Result<ReportDesk, StoreError> {
+/// Reads the reports and snapshots that previous lease holders have stored.
+async fn load_state(node: &Arc<EntryNode>, settings: UsageSettings, fence: u64) -> Result<ReportState, StoreError> {
     let rows = tables::read_all(&node.store, tables::USAGE, tables::USAGE).await?;
     let wall_ms = node.usage.wall_ms();
     let first_kept = settings.first_kept(wall_ms);
-    let mut desk = ReportDesk {
+    let mut state = ReportState {
         fence,
-        listening_ms: wall_ms,
-        // Used if no report is stored: requests may have run before the first holder opened its reports.
-        next: settings.first_kept(wall_ms),
+        receiving_since_ms: wall_ms,
+        // Used if no report is stored: requests may have run before the first holder loaded its state.
+        next_window: settings.first_kept(wall_ms),
         report_empty_from: settings.window_at(wall_ms),
         unsent: BTreeMap::new(),
         unmarked: BTreeMap::new(),
-        old_keys: Vec::new(),
+        expired_keys: Vec::new(),
         saved_at: node.now(),
         saved: BTreeMap::new(),
-        note_keys: BTreeMap::new(),
+        snapshot_keys: BTreeMap::new(),
         retry_at: Timestamp::default(),
     };
     let keys: Vec<Name> = rows.iter().map(|row| row.key.clone()).collect();
-    let is_old = |key: &str| {
-        let window = window_of(key, REPORT_PREFIX).or_else(|| window_of(key, NOTES_PREFIX));
+    let is_expired_key = |key: &str| {
+        let window = window_of(key, REPORT_PREFIX).or_else(|| window_of(key, SNAPSHOTS_PREFIX));
         window.is_some_and(|window| window < first_kept)
     };
-    desk.old_keys = keys.into_iter().filter(|key| is_old(key)).collect();
+    state.expired_keys = keys.into_iter().filter(|key| is_expired_key(key)).collect();
     let mut newest = None;
     for (key, content) in tables::join_pieces(rows) {
         if let Some(window) = window_of(&key, REPORT_PREFIX) {
             let report: UsageReport = tables::decode(&content)?;
             newest = newest.max(Some(window));
             if !report.is_sent && window >= first_kept {
-                desk.unsent.insert(window, report);
+                state.unsent.insert(window, report);
             }
-        } else if let Some(window) = window_of(&key, NOTES_PREFIX).filter(|window| *window >= first_kept) {
-            let notes: WindowSnapshots = tables::decode(&content)?;
-            let mut own = node.usage.desk.lock().unwrap();
-            notes.into_iter().for_each(|(sender, note)| {
-                own.merge(&sender, UsageSnapshot { window, ..note });
+        } else if let Some(window) = window_of(&key, SNAPSHOTS_PREFIX).filter(|window| *window >= first_kept) {
+            let snapshots: WindowSnapshots = tables::decode(&content)?;
+            let mut collector = node.usage.collector.lock().unwrap();
+            snapshots.into_iter().for_each(|(sender, snapshot)| {
+                collector.merge(&sender, UsageSnapshot { window, ..snapshot });
             });
         }
     }
     if let Some(newest) = newest {
-        desk.next = newest + 1;
-        desk.report_empty_from = desk.next;
+        state.next_window = newest + 1;
+        state.report_empty_from = state.next_window;
     }
     let fields: [(&str, &dyn std::fmt::Display); 3] =
-        [("fence", &fence), ("next", &desk.next), ("unsent", &desk.unsent.len())];
+        [("fence", &fence), ("next", &state.next_window), ("unsent", &state.unsent.len())];
     logs::write(event::USAGE_OPENED, &fields);
-    Ok(desk)
+    Ok(state)
 }
 
-/// Stores the report of the next window, or finds the one that is stored. Returns whether the
-/// window is done with.
-async fn store_report(node: &Arc<EntryNode>, settings: UsageSettings, desk: &mut ReportDesk, wall_ms: u64) -> bool {
-    let window = desk.next;
+/// Stores the report of the next window, or loads it if it is already stored. Returns whether this succeeded and the
+/// next window can follow.
+async fn store_report(node: &Arc<EntryNode>, settings: UsageSettings, state: &mut ReportState, wall_ms: u64) -> bool {
+    let window = state.next_window;
     if settings.is_expired(window, wall_ms) {
-        skip_over(node, desk, settings.first_kept(wall_ms));
+        skip_missed_windows(node, state, settings.first_kept(wall_ms));
         return true;
     }
-    let report = UsageReport { counts: node.usage.desk.lock().unwrap().total(window), is_sent: false };
-    if report.counts.is_empty() && window < desk.report_empty_from {
-        desk.next += 1;
+    let report = UsageReport { counts: node.usage.collector.lock().unwrap().total(window), is_sent: false };
+    if report.counts.is_empty() && window < state.report_empty_from {
+        state.next_window += 1;
         return true;
     }
     let key = report_key(window);
@@ -173,21 +175,21 @@
         &key,
         tables::encode(&report),
     );
-    for (window, report) in &desk.unmarked {
+    for (window, report) in &state.unmarked {
         let marked = UsageReport { is_sent: true, ..report.clone() };
         transaction = transaction.put(tables::USAGE, &report_key(*window), tables::encode(&marked));
     }
-    for key in desk.old_keys.iter().take(tables::COMMIT_ROWS / 2) {
+    for key in state.expired_keys.iter().take(tables::COMMIT_ROWS / 2) {
         transaction = transaction.remove(tables::USAGE, key);
     }
     let stored = match node.store.call(&StoreCall::Commit(transaction)).await {
         Ok(StoreReply::Committed(_)) => {
-            desk.unmarked.clear();
-            let kept = desk.old_keys.len().min(tables::COMMIT_ROWS / 2);
-            desk.old_keys.drain(..kept);
+            state.unmarked.clear();
+            let removed = state.expired_keys.len().min(tables::COMMIT_ROWS / 2);
+            state.expired_keys.drain(..removed);
             Some(report)
         }
-        // An earlier try of this node, or of the holder before, was applied.
+        // The report was stored by an earlier attempt of this node or by the previous holder.
         Ok(StoreReply::Conflict(rows)) => {
             let row = rows.into_iter().find(|row| row.key == key);
             row.and_then(|row| tables::decode(&row.value).ok())
@@ -199,38 +201,40 @@
     let fields: [(&str, &dyn std::fmt::Display); 3] =
         [("window", &window), ("customers", &report.counts.len()), ("requests", &requests)];
     logs::write(event::USAGE_STORED, &fields);
-    forget_old(desk, settings.first_kept(wall_ms));
-    desk.unsent.insert(window, report);
-    desk.next += 1;
+    queue_expired_rows(state, settings.first_kept(wall_ms));
+    state.unsent.insert(window, report);
+    state.next_window += 1;
     true
 }
 
-/// Gives up the windows before `first_kept`, which nobody could report in time. One line tells of all
-/// of them, because the system may have been down for days.
-fn skip_over(node: &EntryNode, desk: &mut ReportDesk, first_kept: u64) {
-    let missed = first_kept.saturating_sub(desk.next);
+/// Skips the windows before `first_kept`, for which the time to report has passed. Writes one log line for all of
+/// them, because the system may have been down for days.
+fn skip_missed_windows(node: &EntryNode, state: &mut ReportState, first_kept: u64) {
+    let missed = first_kept.saturating_sub(state.next_window);
     let fields: [(&str, &dyn std::fmt::Display); 3] =
-        [("window", &desk.next), ("windows", &missed), ("why", &"nobody could report them in time")];
+        [("window", &state.next_window), ("windows", &missed), ("why", &"no node reported them in time")];
     logs::write(event::USAGE_MISSED, &fields);
     node.metrics.usage_missed(missed);
-    desk.next = first_kept;
+    state.next_window = first_kept;
 }
 
-/// Has the rows of windows that are over removed with the next report.
-fn forget_old(desk: &mut ReportDesk, first_kept: u64) {
-    let kept = desk.note_keys.split_off(&first_kept);
-    let old = std::mem::replace(&mut desk.note_keys, kept);
-    desk.old_keys.extend(old.into_values().flatten());
+/// Queues the rows of expired windows for removal with the next report.
+fn queue_expired_rows(state: &mut ReportState, first_kept: u64) {
+    let kept = state.snapshot_keys.split_off(&first_kept);
+    let expired = std::mem::replace(&mut state.snapshot_keys, kept);
+    state.expired_keys.extend(expired.into_values().flatten());
     if let Some(window) = first_kept.checked_sub(1) {
-        desk.old_keys.push(report_key(window));
+        state.expired_keys.push(report_key(window));
     }
 }
 
-async fn send_reports(node: &Arc<EntryNode>, caller: &DutyCaller, desk: &mut ReportDesk) {
-    if node.now() < desk.retry_at {
+/// Sends the oldest unsent report to the platform.
+async fn send_reports(node: &Arc<EntryNode>, caller: &DutyCaller, state: &mut ReportState) {
+    if node.now() < state.retry_at {
         return;
     }
-    let Some((window, report)) = desk.unsent.first_key_value().map(|(window, report)| (*window, report.clone())) else {
+    let Some((window, report)) = state.unsent.first_key_value().map(|(window, report)| (*window, report.clone()))
+    else {
         return;
     };
     let encode = |holder: platform::DutyHolder<'_>| platform::encode_usage(holder, window, &report.counts);
@@ -238,45 +242,46 @@
     logs::write(event::USAGE_REPORTED, &[("window", &window), ("fence", &fence), ("answer", &answer.as_str())]);
     match answer {
         DutyAnswer::Done => {
-            desk.unsent.remove(&window);
-            desk.unmarked.insert(window, report);
+            state.unsent.remove(&window);
+            state.unmarked.insert(window, report);
         }
         // The same report would be refused again, and later windows must not wait for it.
         DutyAnswer::Refused | DutyAnswer::NoneLeft => {
-            desk.unsent.remove(&window);
+            state.unsent.remove(&window);
             node.metrics.usage_missed(1);
         }
-        DutyAnswer::RateLimited | DutyAnswer::Unknown => desk.retry_at = node.now() + RETRY_PAUSE,
+        DutyAnswer::RateLimited | DutyAnswer::Unknown => state.retry_at = node.now() + RETRY_BACKOFF,
     }
 }
 
-/// Stores what nodes told of the windows that are not reported yet, if there is news.
-async fn save_notes(node: &Arc<EntryNode>, desk: &mut ReportDesk) {
-    if node.now().since(desk.saved_at) < SAVE_INTERVAL {
+/// Stores the snapshots of the windows without a stored report, if they have changed.
+async fn save_snapshots(node: &Arc<EntryNode>, state: &mut ReportState) {
+    if node.now().since(state.saved_at) < SAVE_INTERVAL {
         return;
     }
-    desk.saved_at = node.now();
+    state.saved_at = node.now();
     let open: Vec<(u64, WindowSnapshots)> = {
-        let held = node.usage.desk.lock().unwrap();
-        let notes =
-            (desk.next..).take(OPEN_WINDOWS).filter_map(|window| Some((window, held.snapshots(window)?.clone())));
-        notes.filter(|(window, notes)| desk.saved.get(window) != Some(notes)).collect()
+        let collector = node.usage.collector.lock().unwrap();
+        let snapshots = (state.next_window..)
+            .take(MAX_OPEN_WINDOWS)
+            .filter_map(|window| Some((window, collector.snapshots(window)?.clone())));
+        snapshots.filter(|(window, snapshots)| state.saved.get(window) != Some(snapshots)).collect()
     };
     if open.is_empty() {
         return;
     }
     let mut transaction = RowTransaction::new(tables::USAGE);
-    for (window, notes) in &open {
-        let content = tables::encode(notes);
+    for (window, snapshots) in &open {
+        let content = tables::encode(snapshots);
         let bytes = node.settings.store_row_bytes;
-        let first = transaction.writes.len();
-        transaction = tables::put_pieces(transaction, tables::USAGE, &notes_key(*window), &content, bytes);
-        let keys = transaction.writes[first..].iter().map(|write| write.key.clone()).collect();
-        desk.note_keys.insert(*window, keys);
+        let first_write = transaction.writes.len();
+        transaction = tables::put_pieces(transaction, tables::USAGE, &snapshots_key(*window), &content, bytes);
+        let keys = transaction.writes[first_write..].iter().map(|write| write.key.clone()).collect();
+        state.snapshot_keys.insert(*window, keys);
     }
     if let Ok(StoreReply::Committed(_)) = node.store.call(&StoreCall::Commit(transaction)).await {
-        desk.saved.extend(open);
-        let next = desk.next;
-        desk.saved.retain(|window, _| *window >= next);
+        state.saved.extend(open);
+        let next_window = state.next_window;
+        state.saved.retain(|window, _| *window >= next_window);
     }
 }
--- a/crates/trestlerackd/src/entry/follower_state.rs
+++ b/crates/trestlerackd/src/entry/follower_state.rs
@@ -1,4 +1,4 @@
-//! Whether this node follows the store or hears of changes from a node that does, and what it passes on.
+//! Whether this node follows the store or receives changes from a node that does, and the changes that it relays.
 
 use super::node::EntryNode;
 use super::{server_discovery, tables};
@@ -20,61 +20,65 @@
 /// Tables that a follower reads.
 pub const FOLLOWED_TABLES: [&str; 3] = [platform::OPERATOR_TABLE, platform::SERVER_TABLE, tables::STATE];
 
-/// Time for which a process that started reckons with as many servers as large fleets have: where all
-/// start at once, service discovery lists them one after the other.
-const SETTLE_TIME: Duration = Duration::from_secs(8);
+/// Time after the start of the process in which the number of servers counts as unknown, so that the followers
+/// are chosen as for a large fleet: if all servers start at once, service discovery lists them one by one.
+const STARTUP_TIME: Duration = Duration::from_secs(8);
 
-/// Shortest time between two draws: at a start servers come one after the other.
-const REDRAW_PAUSE: Duration = Duration::from_secs(1);
+/// Minimum time between two replacements of the server counts, since servers appear one by one when a fleet
+/// starts.
+const MIN_REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a node knows of the levels.
-pub struct LevelDesk {
+/// Role of this node as a follower or a reader of a follower, and the change feed that it serves.
+pub struct FollowerState {
     started_at: Timestamp,
     /// Whether this node follows the store itself.
     is_direct: watch::Sender<bool>,
-    /// The nodes that do; `None` while all do.
+    /// The nodes that follow the store; `None` while all do.
     followers: RwLock<Option<BTreeSet<Name>>>,
-    /// What is passed on to others.
-    log: Mutex<ChangeFeed>,
-    news: watch::Sender<u64>,
-    /// When the question was sent whose answer was taken in last, by table.
-    asked_at: Mutex<BTreeMap<&'static str, Timestamp>>,
-    is_out: AtomicBool,
-    /// Tables of which all rows are passed on.
-    whole: Mutex<BTreeSet<&'static str>>,
-    /// Number of followers that was gone by last.
-    count: AtomicUsize,
-    /// Most servers that were known at once.
-    most_servers: AtomicUsize,
-    /// Version of the store as of which the system's own rows are known.
+    /// Changes that are relayed to other nodes.
+    change_feed: Mutex<ChangeFeed>,
+    /// Signals changes to requests that wait for them.
+    updates: watch::Sender<u64>,
+    /// Time at which the request for the latest applied response was sent, by table.
+    requested_at: Mutex<BTreeMap<&'static str, Timestamp>>,
+    /// Whether the last call to the store failed.
+    is_store_down: AtomicBool,
+    /// Tables of which the change feed has all rows.
+    complete_tables: Mutex<BTreeSet<&'static str>>,
+    /// Number of followers last in use.
+    last_count: AtomicUsize,
+    /// Largest number of servers that were known at once.
+    max_servers: AtomicUsize,
+    /// Store version as of which the system's own rows are known.
     state_version: AtomicU64,
+    /// Server counts from which nodes compute the subset of the servers that they use.
     counts: Mutex<ServerCounts>,
-    /// Tells these counts from earlier ones, here and at other followers.
-    drawn: AtomicU64,
-    drawn_at: Mutex<Timestamp>,
-    /// Changes of the registry as of which the counts were taken.
-    counted: AtomicU64,
+    /// Random id of `counts`, which differs from those of earlier counts here and at other followers.
+    counts_id: AtomicU64,
+    counts_changed_at: Mutex<Timestamp>,
+    /// Number of registry changes at which `counts` was computed.
+    counted_changes: AtomicU64,
 }
 
-impl LevelDesk {
-    /// Builds a desk of a node that is yet to find out.
+impl FollowerState {
+    /// Builds the state of a node whose role is not known yet.
     pub fn new(started_at: Timestamp) -> Self {
         Self {
             started_at,
             is_direct: watch::channel(false).0,
             followers: RwLock::default(),
-            log: Mutex::new(ChangeFeed::new(rand::random())),
-            news: watch::channel(0).0,
-            asked_at: Mutex::default(),
-            is_out: AtomicBool::new(false),
-            whole: Mutex::default(),
-            count: AtomicUsize::new(0),
-            most_servers: AtomicUsize::new(0),
+            change_feed: Mutex::new(ChangeFeed::new(rand::random())),
+            updates: watch::channel(0).0,
+            requested_at: Mutex::default(),
+            is_store_down: AtomicBool::new(false),
+            complete_tables: Mutex::default(),
+            last_count: AtomicUsize::new(0),
+            max_servers: AtomicUsize::new(0),
             state_version: AtomicU64::new(0),
             counts: Mutex::default(),
-            drawn: AtomicU64::new(0),
-            drawn_at: Mutex::default(),
-            counted: AtomicU64::new(0),
+            counts_id: AtomicU64::new(0),
+            counts_changed_at: Mutex::default(),
+            counted_changes: AtomicU64::new(0),
         }
     }
 
@@ -85,22 +89,23 @@
 
     /// Waits until this node follows the store itself.
     pub async fn wait_direct(&self) {
-        // The sender lives as long as the desk.
+        // Does not fail, since the sender lives as long as `self`.
         let _ = self.is_direct.subscribe().wait_for(|is_direct| *is_direct).await;
     }
 
-    /// Returns the number of followers to go by: nodes see somewhat different numbers of servers, and one that is
-    /// half or twice the last one is no reason for another.
-    fn keep_count(&self, count: usize, nodes: usize) -> usize {
-        let held = self.count.swap(count, Ordering::Relaxed);
-        let is_near = held < nodes && count < nodes && (held == 2 * count || count == 2 * held);
-        if is_near {
-            self.count.store(held, Ordering::Relaxed);
+    /// Returns the number of followers to use. A change to half or twice the last number is ignored, because nodes
+    /// see slightly different numbers of servers.
+    fn stable_count(&self, count: usize, nodes: usize) -> usize {
+        let previous = self.last_count.swap(count, Ordering::Relaxed);
+        let is_within_hysteresis =
+            previous < nodes && count < nodes && (previous == 2 * count || count == 2 * previous);
+        if is_within_hysteresis {
+            self.last_count.store(previous, Ordering::Relaxed);
         }
-        if is_near { held } else { count }
+        if is_within_hysteresis { previous } else { count }
     }
 
-    /// Returns whether a node may drive jobs and hold the lease: it follows the store, as far as is known.
+    /// Returns whether a node follows the store as far as is known, and so may drive jobs and hold the lease.
     pub fn is_follower(&self, name: &str) -> bool {
         self.followers.read().unwrap().as_ref().is_none_or(|followers| followers.contains(name))
     }
@@ -110,159 +115,160 @@
         self.followers.read().unwrap().clone()
     }
 
-    /// Returns whether this node passes changes on.
-    pub fn passes_on(&self) -> bool {
+    /// Returns whether this node relays changes to other nodes.
+    pub fn relays_changes(&self) -> bool {
         self.is_direct() && self.followers.read().unwrap().is_some()
     }
 
-    /// Returns whether all rows of all tables are there for others.
-    pub fn knows_all(&self) -> bool {
-        self.whole.lock().unwrap().len() == FOLLOWED_TABLES.len()
+    /// Returns whether the change feed has all rows of all tables.
+    pub fn has_all_tables(&self) -> bool {
+        self.complete_tables.lock().unwrap().len() == FOLLOWED_TABLES.len()
     }
 
-    /// Records that all rows of a table are there for others.
-    pub fn hold_whole(&self, table: &str) {
-        self.whole.lock().unwrap().extend(FOLLOWED_TABLES.into_iter().filter(|held| *held == table));
+    /// Records that the change feed has all rows of a table.
+    pub fn mark_complete(&self, table: &str) {
+        self.complete_tables.lock().unwrap().extend(FOLLOWED_TABLES.into_iter().filter(|followed| *followed == table));
     }
 
-    /// Forgets what is passed on; it is read again once this node is to pass it on.
+    /// Clears the change feed; its tables are read again once this node has to relay them.
     fn clear(&self) {
-        self.whole.lock().unwrap().clear();
-        self.log().clear();
+        self.complete_tables.lock().unwrap().clear();
+        self.change_feed().clear();
     }
 
-    /// Gives access to what is passed on.
-    pub fn log(&self) -> MutexGuard<'_, ChangeFeed> {
-        self.log.lock().unwrap()
+    /// Locks the change feed and returns it.
+    pub fn change_feed(&self) -> MutexGuard<'_, ChangeFeed> {
+        self.change_feed.lock().unwrap()
     }
 
-    /// Returns what tells of changes that are passed on.
+    /// Returns a receiver that is notified of changes to relay.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
-        self.news.subscribe()
+        self.updates.subscribe()
     }
 
-    /// Tells those that wait of changes that were passed on.
-    pub fn tell(&self) {
-        self.news.send_modify(|count| *count += 1);
+    /// Wakes the requests that wait for changes.
+    pub fn notify_subscribers(&self) {
+        self.updates.send_modify(|count| *count += 1);
     }
 
-    /// Passes rows on.
-    pub fn put(&self, rows: Vec<StoredRow>) {
-        if rows.is_empty() || !self.passes_on() {
+    /// Adds rows to the change feed if this node relays changes.
+    pub fn relay(&self, rows: Vec<StoredRow>) {
+        if rows.is_empty() || !self.relays_changes() {
             return;
         }
-        let mut log = self.log();
-        rows.into_iter().for_each(|row| log.put(row));
-        drop(log);
-        self.tell();
+        let mut change_feed = self.change_feed();
+        rows.into_iter().for_each(|row| change_feed.put(row));
+        drop(change_feed);
+        self.notify_subscribers();
     }
 
-    /// Records that a table is known as of a version, by an answer to a question sent at `asked_at`.
-    pub fn taken_in(&self, table: &'static str, asked_at: Timestamp, version: Option<u64>) {
-        self.asked_at.lock().unwrap().insert(table, asked_at);
-        self.is_out.store(false, Ordering::Relaxed);
+    /// Records that a table is known as of a version, from a response to a request sent at `requested_at`.
+    pub fn record_read(&self, table: &'static str, requested_at: Timestamp, version: Option<u64>) {
+        self.requested_at.lock().unwrap().insert(table, requested_at);
+        self.is_store_down.store(false, Ordering::Relaxed);
         if let Some(version) = version.filter(|_| table == tables::STATE) {
             self.state_version.fetch_max(version, Ordering::Relaxed);
         }
     }
 
-    /// Records that the store did not answer.
-    pub fn failed(&self) {
-        self.is_out.store(true, Ordering::Relaxed);
+    /// Records that a call to the store failed.
+    pub fn record_store_failure(&self) {
+        self.is_store_down.store(true, Ordering::Relaxed);
     }
 
-    /// Returns whether the store did not answer last.
-    pub fn is_out(&self) -> bool {
-        self.is_out.load(Ordering::Relaxed)
+    /// Returns whether the last call to the store failed.
+    pub fn is_store_down(&self) -> bool {
+        self.is_store_down.load(Ordering::Relaxed)
     }
 
-    /// Returns the version of the store as of which the system's own rows are known.
+    /// Returns the store version as of which the system's own rows are known.
     pub fn state_version(&self) -> u64 {
         self.state_version.load(Ordering::Relaxed)
     }
 
-    /// Returns how old the oldest of what this node knows of the store may be.
+    /// Returns the age of the table that was read least recently; the maximum duration if none was read.
     pub fn age(&self, now: Timestamp) -> Duration {
-        let asked_at = self.asked_at.lock().unwrap();
-        asked_at.values().min().map_or(Duration::MAX, |oldest| now.since(*oldest))
+        let requested_at = self.requested_at.lock().unwrap();
+        requested_at.values().min().map_or(Duration::MAX, |oldest| now.since(*oldest))
     }
 
-    /// Returns the counts from which nodes draw the servers that they make use of.
+    /// Returns the server counts from which nodes compute the subset of the servers that they use.
     pub fn counts(&self) -> ServerCounts {
         self.counts.lock().unwrap().clone()
     }
 
-    /// Returns what tells these counts from others.
-    pub fn drawn(&self) -> u64 {
-        self.drawn.load(Ordering::Relaxed)
+    /// Returns the id of the server counts.
+    pub fn counts_id(&self) -> u64 {
+        self.counts_id.load(Ordering::Relaxed)
     }
 
-    /// Returns whether a node makes use of a server.
-    pub fn is_in_part(&self, node: &str, zone: &str, entry: &ServerEntry) -> bool {
+    /// Returns whether a server is in a node's subset.
+    pub fn is_in_subset(&self, node: &str, zone: &str, entry: &ServerEntry) -> bool {
         self.counts.lock().unwrap().is_in_part(node, zone, entry)
     }
 }
 
-/// Decides whether this node is to follow the store, as of the nodes and servers that it knows. Returns it.
-pub fn decide(node: &Arc<EntryNode>) -> bool {
-    let mut nodes = level_nodes(node);
+/// Chooses the followers from the nodes and servers known here, and returns whether this node has to read the store
+/// itself: it is a follower, drives a job or holds the lease.
+pub fn update_followers(node: &Arc<EntryNode>) -> bool {
+    let mut nodes = candidates(node);
     if !nodes.iter().any(|other| other.name == node.settings.name) {
-        nodes.push(own_node(node));
+        nodes.push(own_candidate(node));
     }
     let heartbeat = Duration::from_millis(node.settings.server_heartbeat_ms);
     let count = match node.settings.followers {
-        0 => node.levels.keep_count(follower_count(nodes.len(), known_servers(node), heartbeat), nodes.len()),
+        0 => node.follower.stable_count(follower_count(nodes.len(), max_known_servers(node), heartbeat), nodes.len()),
         count => count,
     };
     let followers = (count < nodes.len()).then(|| choose_followers(&nodes, count));
     let is_chosen = followers.as_ref().is_none_or(|followers| followers.contains(&node.settings.name));
     let number = followers.as_ref().map_or(nodes.len(), BTreeSet::len);
-    let was_in_force = {
-        let mut held = node.levels.followers.write().unwrap();
-        let was_in_force = held.is_some();
-        if held.as_ref().map(BTreeSet::len) != followers.as_ref().map(BTreeSet::len) {
+    let had_followers = {
+        let mut previous = node.follower.followers.write().unwrap();
+        let had_followers = previous.is_some();
+        if previous.as_ref().map(BTreeSet::len) != followers.as_ref().map(BTreeSet::len) {
             let fields: [(&str, &dyn std::fmt::Display); 3] =
                 [("nodes", &nodes.len()), ("followers", &number), ("is_follower", &is_chosen)];
             logs::write(event::LEVELS_CHANGED, &fields);
         }
-        *held = followers;
-        was_in_force
+        *previous = followers;
+        had_followers
     };
-    let is_in_force = node.levels.followers.read().unwrap().is_some();
-    if is_in_force && !was_in_force {
-        // What is passed on was not kept before.
-        node.levels.clear();
+    let has_followers = node.follower.followers.read().unwrap().is_some();
+    if has_followers && !had_followers {
+        // The change feed was not maintained while all nodes followed the store.
+        node.follower.clear();
     }
-    if !is_in_force || node.levels.is_direct() {
-        redraw(node, is_in_force);
+    if !has_followers || node.follower.is_direct() {
+        refresh_counts(node, has_followers);
     }
     is_chosen || !node.drivers.lock().unwrap().is_empty() || node.lease.fence(node.now()).is_some()
 }
 
-/// Returns whether a table is to be read whole again, because this node is to pass it on.
-pub fn is_unread(node: &EntryNode, table: &str) -> bool {
-    node.levels.passes_on() && !node.levels.whole.lock().unwrap().contains(table)
+/// Returns whether a full read of a table is needed because this node relays it and lacks some of its rows.
+pub fn needs_full_read(node: &EntryNode, table: &str) -> bool {
+    node.follower.relays_changes() && !node.follower.complete_tables.lock().unwrap().contains(table)
 }
 
-fn known_servers(node: &EntryNode) -> Option<usize> {
-    let known = match node.levels.is_direct() {
+fn max_known_servers(node: &EntryNode) -> Option<usize> {
+    let known = match node.follower.is_direct() {
         true => node.registry.lock().unwrap().entries().count(),
-        false => node.levels.counts().total(),
+        false => node.follower.counts().total(),
     };
-    // Servers come one after the other at a start, and a node that has become one of few followers stays it
-    // for the time.
-    let most = node.levels.most_servers.fetch_max(known, Ordering::Relaxed).max(known);
-    let is_settled = node.now().since(node.levels.started_at) >= SETTLE_TIME;
-    (is_settled && most > 0).then_some(most)
+    // Uses the largest number seen so far: servers appear one by one when a fleet starts, and the choice of
+    // followers must not change with each of them.
+    let highest = node.follower.max_servers.fetch_max(known, Ordering::Relaxed).max(known);
+    let is_settled = node.now().since(node.follower.started_at) >= STARTUP_TIME;
+    (is_settled && highest > 0).then_some(highest)
 }
 
-fn own_node(node: &EntryNode) -> FollowerCandidate {
+fn own_candidate(node: &EntryNode) -> FollowerCandidate {
     let settings = &node.settings;
     FollowerCandidate { name: settings.name.clone(), zone: settings.zone.clone(), capacity: settings.capacity() }
 }
 
-/// Returns the registered nodes, as far as levels ask.
-pub fn level_nodes(node: &EntryNode) -> Vec<FollowerCandidate> {
+/// Returns the registered nodes as candidates for followers.
+pub fn candidates(node: &EntryNode) -> Vec<FollowerCandidate> {
     node.peers.rows(|name, row| FollowerCandidate {
         name: name.clone(),
         zone: row.zone.clone(),
@@ -270,74 +276,76 @@
     })
 }
 
-/// Draws the servers that nodes make use of anew where their numbers have changed much. While all nodes
-/// follow the store they make use of all.
-fn redraw(node: &Arc<EntryNode>, is_in_force: bool) {
-    if is_in_force && node.now().since(*node.levels.drawn_at.lock().unwrap()) < REDRAW_PAUSE {
+/// Replaces the server counts, and with them the subsets of all nodes, if the numbers of servers have changed much.
+/// While all nodes follow the store, each uses all servers.
+fn refresh_counts(node: &Arc<EntryNode>, has_followers: bool) {
+    if has_followers && node.now().since(*node.follower.counts_changed_at.lock().unwrap()) < MIN_REFRESH_INTERVAL {
         return;
     }
     let counts = {
         let registry = node.registry.lock().unwrap();
-        if is_in_force && node.levels.counted.swap(registry.changes(), Ordering::Relaxed) == registry.changes() {
+        if has_followers
+            && node.follower.counted_changes.swap(registry.changes(), Ordering::Relaxed) == registry.changes()
+        {
             return;
         }
-        if is_in_force { ServerCounts::of(registry.entries()) } else { ServerCounts::default() }
+        if has_followers { ServerCounts::of(registry.entries()) } else { ServerCounts::default() }
     };
-    let is_redrawn = node.levels.counts.lock().unwrap().redraw(counts);
-    if is_redrawn {
-        *node.levels.drawn_at.lock().unwrap() = node.now();
-        node.levels.drawn.store(rand::random(), Ordering::Relaxed);
-        node.levels.tell();
-        server_discovery::refresh_board(node);
+    let is_replaced = node.follower.counts.lock().unwrap().redraw(counts);
+    if is_replaced {
+        *node.follower.counts_changed_at.lock().unwrap() = node.now();
+        node.follower.counts_id.store(rand::random(), Ordering::Relaxed);
+        node.follower.notify_subscribers();
+        server_discovery::refresh_balancer(node);
     }
 }
 
-/// Records whether this node follows the store itself from now on.
-pub fn set_direct(node: &EntryNode, is_direct: bool, why: &str) {
-    let was_direct = node.levels.is_direct.send_replace(is_direct);
+/// Sets whether this node follows the store itself.
+pub fn set_direct(node: &EntryNode, is_direct: bool, reason: &str) {
+    let was_direct = node.follower.is_direct.send_replace(is_direct);
     if was_direct != is_direct {
         if !is_direct {
-            node.levels.clear();
-            node.levels.asked_at.lock().unwrap().clear();
+            node.follower.clear();
+            node.follower.requested_at.lock().unwrap().clear();
         }
         let source = if is_direct { "store" } else { "follower" };
-        logs::write(event::LEVEL_TAKEN, &[("source", &source), ("why", &why)]);
+        logs::write(event::LEVEL_TAKEN, &[("source", &source), ("why", &reason)]);
     }
 }
 
-/// Takes over the counts of a follower.
-pub fn take_counts(node: &EntryNode, counts: ServerCounts, drawn: u64) {
-    node.levels.drawn.store(drawn, Ordering::Relaxed);
-    *node.levels.counts.lock().unwrap() = counts;
+/// Adopts the server counts of a follower.
+pub fn set_counts(node: &EntryNode, counts: ServerCounts, counts_id: u64) {
+    node.follower.counts_id.store(counts_id, Ordering::Relaxed);
+    *node.follower.counts.lock().unwrap() = counts;
 }
 
-/// Returns whether a row of the system's own table is passed on: what engines are ordered concerns drivers and
-/// the holder of the lease alone, and they follow the store; a job's head and the lease are passed on when
-/// another node is to act.
-pub fn is_for_all(row: &StoredRow, held: Option<&StoredRow>) -> bool {
+/// Returns whether a row of the system's own table is relayed. Weight orders of engines are not, because only
+/// drivers and the lease holder need them and these follow the store. The lease and the record of a job are relayed
+/// only if the node that has to act changes.
+pub fn is_relayed(row: &StoredRow, previous: Option<&StoredRow>) -> bool {
     match &*row.partition {
         tables::ENGINES => false,
-        tables::LEASES => row.removed || held.is_none_or(|held| !is_same_lease(row, held)),
+        tables::LEASES => row.removed || previous.is_none_or(|previous| !is_same_lease(row, previous)),
         tables::SUSPECTS => true,
         partition if is_node_partition(partition) => true,
-        _ if &*row.key == tables::HEAD => row.removed || held.is_none_or(|held| !is_same_owner(row, held)),
+        _ if &*row.key == tables::HEAD => row.removed || previous.is_none_or(|previous| !is_same_owner(row, previous)),
         _ => true,
     }
 }
 
-fn is_same_lease(row: &StoredRow, held: &StoredRow) -> bool {
-    let terms = |row: &StoredRow| {
+fn is_same_lease(row: &StoredRow, previous: &StoredRow) -> bool {
+    let key_fields = |row: &StoredRow| {
         let lease: LeaseRow = tables::decode(&row.value).ok()?;
         Some((lease.holder, lease.incarnation, lease.fence, lease.released))
     };
-    terms(row) == terms(held)
+    key_fields(row) == key_fields(previous)
 }
 
-fn is_same_owner(row: &StoredRow, held: &StoredRow) -> bool {
-    let terms = |row: &StoredRow| {
-        let head: JobRecord = tables::decode(&row.value).ok()?;
-        let is_whole = head.is_complete();
-        Some((head.owner, head.incarnation, head.fence, is_whole))
+fn is_same_owner(row: &StoredRow, previous: &StoredRow) -> bool {
+    let key_fields = |row: &StoredRow| {
+        let record: JobRecord = tables::decode(&row.value).ok()?;
+        let is_complete = record.is_complete();
+        Some((record.owner, record.incarnation, record.fence, is_complete))
     };
-    terms(row) == terms(held)
+    key_fields(row) == key_fields(previous)
 }
--- a/crates/trestlerackd/src/entry/job_accept.rs
+++ b/crates/trestlerackd/src/entry/job_accept.rs
@@ -174,8 +174,8 @@
         nodes.push(own);
     }
     // A node that does not follow the store would have to read it whole first.
-    if nodes.iter().any(|(name, _)| node.levels.is_follower(name)) {
-        nodes.retain(|(name, _)| node.levels.is_follower(name));
+    if nodes.iter().any(|(name, _)| node.follower.is_follower(name)) {
+        nodes.retain(|(name, _)| node.follower.is_follower(name));
     }
     let models = |name: &Name| driven.get(name).map_or(0, BTreeSet::len);
     let candidates: Vec<OwnerCandidate> =
--- a/crates/trestlerackd/src/entry/job_calls.rs
+++ b/crates/trestlerackd/src/entry/job_calls.rs
@@ -147,7 +147,7 @@
             // cannot be asked nothing is listed either.
             return Ok(read_job(node, job).await.unwrap_or(view));
         }
-        if node.levels.is_direct() {
+        if node.follower.is_direct() {
             // Ends with a change of any job or with the deadline; both lead to another look.
             let _ = clock::timeout(deadline.since(now), news.changed()).await;
         } else {
--- a/crates/trestlerackd/src/entry/job_driver.rs
+++ b/crates/trestlerackd/src/entry/job_driver.rs
@@ -216,7 +216,7 @@
     }
     let driver = Arc::new(JobDriver::new(spec.clone(), &head, ledger, memory));
     node.drivers.lock().unwrap().insert(spec.id.clone(), driver.clone());
-    server_discovery::hold_driven(&node);
+    server_discovery::add_driven_engines(&node);
     // News of the job's end that came after its rows were read found no driver to tell.
     if node.job(&spec.id).is_some_and(|view| view.is_ended) {
         driver.end();
--- a/crates/trestlerackd/src/entry/mod.rs
+++ b/crates/trestlerackd/src/entry/mod.rs
@@ -93,9 +93,9 @@
         tokio::spawn(metrics::serve(node.clone(), listener));
     }
     for table in [platform::OPERATOR_TABLE, platform::SERVER_TABLE, tables::STATE] {
-        tokio::spawn(table_watch::follow(node.clone(), table));
+        tokio::spawn(table_watch::follow_table(node.clone(), table));
     }
-    tokio::spawn(feed_relay::keep_level(node.clone()));
+    tokio::spawn(feed_relay::maintain_role(node.clone()));
     tokio::spawn(note_suspensions(node.clone()));
     tokio::spawn(keep_registered(node.clone()));
     tokio::spawn(probe_store(node.clone()));
--- a/crates/trestlerackd/src/entry/node.rs
+++ b/crates/trestlerackd/src/entry/node.rs
@@ -1,8 +1,8 @@
 //! The state that an entry node shares between its tasks.
 
 use super::callers::KeyRefresh;
-use super::duties::UsageBook;
-use super::follower_state::LevelDesk;
+use super::duties::UsageTracker;
+use super::follower_state::FollowerState;
 use super::held::HeldDesk;
 use super::job_driver::JobDriver;
 use super::lease_book::LeaseBook;
@@ -112,10 +112,10 @@
     pub weights: WeightBook,
     /// The lease on weight orders and duties.
     pub lease: LeaseBook,
-    /// Requests of customers that began to run.
-    pub usage: UsageBook,
-    /// Whether this node follows the store, and what it passes on.
-    pub levels: LevelDesk,
+    /// Customers' requests that started to run.
+    pub usage: UsageTracker,
+    /// Whether this node follows the store, and the changes that it relays.
+    pub follower: FollowerState,
     /// Version of this node's row when it was written last; the largest number before.
     pub registered_at: AtomicU64,
     /// How old what is known of ended jobs is.
@@ -175,8 +175,8 @@
             unlisted: Notify::new(),
             weights: WeightBook::default(),
             lease: LeaseBook::default(),
-            usage: UsageBook::new(settings.usage()),
-            levels: LevelDesk::new(clock.now()),
+            usage: UsageTracker::new(settings.usage()),
+            follower: FollowerState::new(clock.now()),
             registered_at: AtomicU64::new(u64::MAX),
             end_news: Mutex::default(),
             jobs: Mutex::default(),
--- a/crates/trestlerackd/src/entry/order_lease.rs
+++ b/crates/trestlerackd/src/entry/order_lease.rs
@@ -69,8 +69,8 @@
     };
     loop {
         // A node that does not follow the store takes no lease and has none to give back.
-        if !node.levels.is_direct() && desk.held_fence.is_none() {
-            node.levels.wait_direct().await;
+        if !node.follower.is_direct() && desk.held_fence.is_none() {
+            node.follower.wait_direct().await;
         }
         tokio::select! {
             () = clock::sleep(LOOK_INTERVAL) => {}
@@ -116,7 +116,7 @@
 /// before ordered last decides how long its engines are left alone.
 async fn read_orders(node: &Arc<EntryNode>) -> Result<(), StoreError> {
     for row in tables::read_all(&node.store, tables::STATE, tables::ENGINES).await? {
-        table_watch::learn_assignment(node, &row.key, tables::decode(&row.value)?);
+        table_watch::apply_assignment(node, &row.key, tables::decode(&row.value)?);
     }
     Ok(())
 }
@@ -143,7 +143,7 @@
     // Peers tell a restarted holder by its row, so that row has to be there first. A node that has
     // not read the rows yet knows neither the lease nor who comes before it in line.
     // One that does not follow the store knows too few engines.
-    if !node.levels.is_direct() {
+    if !node.follower.is_direct() {
         return;
     }
     if !node.is_registered.load(Ordering::Relaxed) || !node.has_state.load(Ordering::Relaxed) {
@@ -188,7 +188,7 @@
 /// one for each fencing number.
 fn wait_in_line(node: &EntryNode, fence: u64) -> Duration {
     let mut names = node.peers.names();
-    names.retain(|name| node.levels.is_follower(name));
+    names.retain(|name| node.follower.is_follower(name));
     let key = hash_parts(&[tables::ORDER_LEASE, &fence.to_string()]);
     let rank = rank_among(key, &node.settings.name, names.iter().map(|name| &**name));
     (RANK_TIME * u32::try_from(rank).unwrap_or(u32::MAX)).min(RANK_TIME_MAX)
--- a/crates/trestlerackd/src/entry/peers.rs
+++ b/crates/trestlerackd/src/entry/peers.rs
@@ -353,11 +353,11 @@
             }
         }
         PeerCall::Usage { sender, notes } => {
-            node.usage.take(&sender, notes);
+            node.usage.merge(&sender, notes);
             PeerReply::Noted
         }
         PeerCall::Strikes { notes } => PeerReply::Strikes(suspects::answer_peer(node, &notes)),
-        PeerCall::Feed(call) => PeerReply::Feed(feed_relay::answer(node, call).await),
+        PeerCall::Feed(call) => PeerReply::Feed(feed_relay::handle_call(node, call).await),
         PeerCall::Trial { server, fingerprint } => PeerReply::Trial(suspects::grant_trial(node, &server, fingerprint)),
         PeerCall::News(told) => PeerReply::News(news::answer_peer(node, told)),
         PeerCall::Drive { job } => PeerReply::Drives(adoption::drive_assigned(node, &job).await),
--- a/crates/trestlerackd/src/entry/server_discovery.rs
+++ b/crates/trestlerackd/src/entry/server_discovery.rs
@@ -1,4 +1,4 @@
-//! Takes over what service discovery tells of backend servers.
+//! Applies the entries of service discovery to the registry and the load balancer.
 
 use super::node::EntryNode;
 use super::{room, suspects};
@@ -11,50 +11,51 @@
 use trestlerack::{Name, event};
 use trestlerack_platform as platform;
 
-/// Servers of one piece of news that the log names; of more only their number is told, by state.
-const NAMED_SERVERS: usize = 4;
+/// Maximum number of servers that a log line names per state; of the others it has only the count.
+const MAX_LOGGED_SERVERS: usize = 4;
 
-/// Takes over changed entries.
+/// Applies changed entries.
 pub fn apply_rows(node: &Arc<EntryNode>, rows: Vec<StoredRow>) {
     let now = node.now();
     let mut registry = node.registry.lock().unwrap();
-    let mut news = ServerNews::default();
+    let mut changes = ServerChanges::default();
     for row in rows {
         if row.removed {
-            // Shortly after an outage an entry is believed a little longer, and passed on once it is not.
-            let held = registry.get(&row.key).cloned();
+            // Shortly after an outage the registry keeps a removed entry a little longer; its removal is relayed
+            // once the registry drops it.
+            let previous = registry.get(&row.key).cloned();
             if registry.remove(now, &row.key) {
-                news.removed(row);
+                changes.record_removal(row);
             }
-            news.gone.extend(held);
+            changes.ended.extend(previous);
             continue;
         }
         match platform::decode_server(&row) {
-            Ok(entry) if is_used_at_all(node, &entry) => {
-                let held = registry.get(&entry.instance).cloned();
+            Ok(entry) if is_kept(node, &entry) => {
+                let previous = registry.get(&entry.instance).cloned();
                 if registry.put(entry.clone()) {
-                    news.changed(held, entry, row);
+                    changes.record_change(previous, entry, row);
                 }
             }
             Ok(_) => {}
             Err(error) => {
                 logs::write(event::ROW_REFUSED, &[("key", &row.key), ("why", &error)]);
                 if registry.remove_invalid(&row.key) {
-                    news.removed(row);
+                    changes.record_removal(row);
                 }
             }
         }
     }
     for instance in registry.expire(now) {
-        news.removed(removed_row(&instance));
+        changes.record_removal(removed_row(&instance));
     }
     drop(registry);
-    take_news(node, news);
+    apply_changes(node, changes);
 }
 
-/// Takes over all entries, as they were read whole.
+/// Replaces all entries after a full read.
 pub fn replace(node: &Arc<EntryNode>, rows: Vec<StoredRow>) {
-    let mut news = ServerNews::default();
+    let mut changes = ServerChanges::default();
     let mut entries = Vec::new();
     let mut registry = node.registry.lock().unwrap();
     let before: BTreeMap<Name, ServerEntry> =
@@ -62,7 +63,7 @@
     let count = rows.len();
     for row in rows {
         match platform::decode_server(&row) {
-            Ok(entry) if is_used_at_all(node, &entry) => entries.push((entry, row)),
+            Ok(entry) if is_kept(node, &entry) => entries.push((entry, row)),
             Ok(_) => {}
             Err(error) => {
                 registry.remove_invalid(&row.key);
@@ -70,77 +71,80 @@
             }
         }
     }
-    let changes = registry.changes();
+    let change_count = registry.changes();
     registry.replace(node.now(), entries.iter().map(|(entry, _)| entry.clone()).collect());
-    let is_new = registry.changes() != changes;
-    let is_untold = |row: &StoredRow| node.levels.log().get(platform::SERVER_TABLE, &row.partition, &row.key).is_none();
+    let has_changed = registry.changes() != change_count;
+    let is_unrelayed =
+        |row: &StoredRow| node.follower.change_feed().get(platform::SERVER_TABLE, &row.partition, &row.key).is_none();
     for (entry, row) in entries {
-        let held = before.get(&entry.instance);
-        let is_same = held.is_some_and(|held| is_only_heartbeat(held, &entry));
-        if !is_same || (node.levels.passes_on() && is_untold(&row)) {
-            news.changed(held.cloned(), entry, row);
+        let previous = before.get(&entry.instance);
+        let is_same = previous.is_some_and(|previous| is_only_heartbeat(previous, &entry));
+        if !is_same || (node.follower.relays_changes() && is_unrelayed(&row)) {
+            changes.record_change(previous.cloned(), entry, row);
         }
     }
-    for (instance, held) in before {
+    for (instance, previous) in before {
         if registry.get(&instance).is_none() {
-            news.removed(removed_row(&instance));
-            news.gone.push(held);
+            changes.record_removal(removed_row(&instance));
+            changes.ended.push(previous);
         }
     }
     drop(registry);
-    if is_new {
-        take_news(node, news);
+    if has_changed {
+        apply_changes(node, changes);
     } else {
-        node.levels.put(news.rows);
+        node.follower.relay(changes.rows);
     }
-    if node.levels.passes_on() {
-        node.levels.hold_whole(platform::SERVER_TABLE);
+    if node.follower.relays_changes() {
+        node.follower.mark_complete(platform::SERVER_TABLE);
     }
     node.has_registry.store(true, Ordering::Relaxed);
     logs::write(event::SERVERS_READ, &[("count", &count)]);
 }
 
-/// What of a piece of news is more than heartbeats.
+/// Changes of entries other than heartbeats.
 #[derive(Default)]
-struct ServerNews {
+struct ServerChanges {
     changed: Vec<ServerEntry>,
     removed: Vec<Name>,
-    /// Starts of servers that have ended.
-    gone: Vec<ServerEntry>,
-    /// The rows that say so, for other nodes.
+    /// Former entries of servers that have ended or restarted.
+    ended: Vec<ServerEntry>,
+    /// Rows of these changes, to be relayed to other nodes.
     rows: Vec<StoredRow>,
-    lines: Vec<(Name, &'static str)>,
+    /// New states of servers, for the log.
+    states: Vec<(Name, &'static str)>,
 }
 
-impl ServerNews {
-    fn changed(&mut self, held: Option<ServerEntry>, entry: ServerEntry, row: StoredRow) {
-        let is_restarted = held.as_ref().is_some_and(|held| held.started_ms < entry.started_ms);
-        let is_same_state = held.as_ref().is_some_and(|held| held.is_draining == entry.is_draining) && !is_restarted;
+impl ServerChanges {
+    fn record_change(&mut self, previous: Option<ServerEntry>, entry: ServerEntry, row: StoredRow) {
+        let is_restarted = previous.as_ref().is_some_and(|previous| previous.started_ms < entry.started_ms);
+        let is_same_state =
+            previous.as_ref().is_some_and(|previous| previous.is_draining == entry.is_draining) && !is_restarted;
         let state = match (is_restarted, entry.is_draining) {
             (_, true) => "draining",
             (true, false) => "restarted",
             (false, false) => "ready",
         };
         if !is_same_state {
-            self.lines.push((entry.instance.clone(), state));
+            self.states.push((entry.instance.clone(), state));
         }
-        self.gone.extend(held.filter(|_| is_restarted));
+        self.ended.extend(previous.filter(|_| is_restarted));
         self.changed.push(entry);
         self.rows.push(row);
     }
 
-    fn removed(&mut self, row: StoredRow) {
-        self.lines.push((row.key.clone(), "removed"));
+    fn record_removal(&mut self, row: StoredRow) {
+        self.states.push((row.key.clone(), "removed"));
         self.removed.push(row.key.clone());
         self.rows.push(row);
     }
 
-    /// Writes a line with the numbers of a piece of news, and the names of a few servers.
+    /// Writes a log line per state, with the number of servers and the names of a few.
     fn log(&self) {
         let mut states: BTreeMap<&'static str, Vec<&str>> = BTreeMap::new();
-        self.lines.iter().for_each(|(server, state)| states.entry(state).or_default().push(server));
+        self.states.iter().for_each(|(server, state)| states.entry(state).or_default().push(server));
         for (state, servers) in states {
-            let named = servers[..servers.len().min(NAMED_SERVERS)].join(",");
+            let named = servers[..servers.len().min(MAX_LOGGED_SERVERS)].join(",");
             let fields: [(&str, &dyn std::fmt::Display); 3] =
                 [("servers", &named), ("state", &state), ("count", &servers.len())];
             logs::write(event::SERVER_CHANGED, &fields);
@@ -148,34 +152,34 @@
     }
 }
 
-fn take_news(node: &Arc<EntryNode>, news: ServerNews) {
-    news.gone.iter().for_each(|server| suspects::server_gone(node, server));
-    if news.changed.is_empty() && news.removed.is_empty() {
+fn apply_changes(node: &Arc<EntryNode>, changes: ServerChanges) {
+    changes.ended.iter().for_each(|server| suspects::server_gone(node, server));
+    if changes.changed.is_empty() && changes.removed.is_empty() {
         return;
     }
-    news.log();
+    changes.log();
     {
-        let drives = driven_models(node);
+        let driven = driven_models(node);
         let registry = node.registry.lock().unwrap();
-        let mut board = node.board.lock().unwrap();
-        for entry in &news.changed {
-            // Later news may have come meanwhile.
+        let mut balancer = node.board.lock().unwrap();
+        for entry in &changes.changed {
+            // A later change may have been applied in the meantime.
             if let Some(entry) = registry.get(&entry.instance)
-                && (board.get(&entry.instance).is_some() || is_used(node, entry, &board, &drives))
+                && (balancer.get(&entry.instance).is_some() || is_used(node, entry, &balancer, &driven))
             {
-                board.put(entry);
+                balancer.put(entry);
             }
         }
-        for instance in news.removed.iter().filter(|instance| registry.get(instance).is_none()) {
-            board.remove(instance);
+        for instance in changes.removed.iter().filter(|instance| registry.get(instance).is_none()) {
+            balancer.remove(instance);
         }
     }
-    node.levels.put(news.rows);
+    node.follower.relay(changes.rows);
     room::servers_changed(node);
 }
 
-fn is_only_heartbeat(held: &ServerEntry, entry: &ServerEntry) -> bool {
-    ServerEntry { heartbeat: entry.heartbeat, ..held.clone() } == *entry
+fn is_only_heartbeat(previous: &ServerEntry, entry: &ServerEntry) -> bool {
+    ServerEntry { heartbeat: entry.heartbeat, ..previous.clone() } == *entry
 }
 
 fn removed_row(instance: &Name) -> StoredRow {
@@ -189,20 +193,20 @@
     }
 }
 
-/// Returns whether this node is to know a server: one that follows the store knows all.
-fn is_used_at_all(node: &EntryNode, entry: &ServerEntry) -> bool {
-    node.levels.is_direct() || is_in_own_part(node, entry)
+/// Returns whether this node keeps an entry of a server: a node that follows the store keeps all.
+fn is_kept(node: &EntryNode, entry: &ServerEntry) -> bool {
+    node.follower.is_direct() || is_in_own_subset(node, entry)
 }
 
-fn is_in_own_part(node: &EntryNode, entry: &ServerEntry) -> bool {
-    node.levels.is_in_part(&node.settings.name, &node.settings.zone, entry)
+fn is_in_own_subset(node: &EntryNode, entry: &ServerEntry) -> bool {
+    node.follower.is_in_subset(&node.settings.name, &node.settings.zone, entry)
 }
 
-/// Returns whether this node makes use of a server: it is in the node's part, or an engine of a model
-/// whose jobs it drives.
-fn is_used(node: &EntryNode, entry: &ServerEntry, board: &ServerBoard, drives: &[Name]) -> bool {
-    let model = board.assigned_model(&entry.instance);
-    model.is_some_and(|model| drives.contains(model)) || is_in_own_part(node, entry)
+/// Returns whether this node uses a server: the server is in the node's subset, or an engine of a model whose
+/// jobs the node drives.
+fn is_used(node: &EntryNode, entry: &ServerEntry, balancer: &ServerBoard, driven: &[Name]) -> bool {
+    let model = balancer.assigned_model(&entry.instance);
+    model.is_some_and(|model| driven.contains(model)) || is_in_own_subset(node, entry)
 }
 
 fn driven_models(node: &EntryNode) -> Vec<Name> {
@@ -210,43 +214,43 @@
     drivers.values().flat_map(|driver| driver.models.iter().cloned()).collect()
 }
 
-/// Takes over all servers that this node makes use of, and no others.
-pub fn refresh_board(node: &Arc<EntryNode>) {
-    let drives = driven_models(node);
+/// Makes the load balancer hold exactly the servers that this node uses.
+pub fn refresh_balancer(node: &Arc<EntryNode>) {
+    let driven = driven_models(node);
     let registry = node.registry.lock().unwrap();
-    let mut board = node.board.lock().unwrap();
-    hold_used(node, &registry, &mut board, &drives);
-    let idle = board.instances().filter(|instance| {
+    let mut balancer = node.board.lock().unwrap();
+    add_used_servers(node, &registry, &mut balancer, &driven);
+    let unused = balancer.instances().filter(|instance| {
         let entry = registry.get(instance);
-        entry.is_none_or(|entry| !is_used(node, entry, &board, &drives))
+        entry.is_none_or(|entry| !is_used(node, entry, &balancer, &driven))
     });
-    let idle: Vec<Name> = idle.cloned().collect();
-    idle.iter().for_each(|instance| board.remove(instance));
+    let unused: Vec<Name> = unused.cloned().collect();
+    unused.iter().for_each(|instance| balancer.remove(instance));
 }
 
-/// Takes over the engines of models whose jobs this node drives from now on.
-pub fn hold_driven(node: &Arc<EntryNode>) {
-    let drives = driven_models(node);
+/// Adds the engines of models whose jobs this node has begun to drive.
+pub fn add_driven_engines(node: &Arc<EntryNode>) {
+    let driven = driven_models(node);
     let registry = node.registry.lock().unwrap();
-    hold_used(node, &registry, &mut node.board.lock().unwrap(), &drives);
+    add_used_servers(node, &registry, &mut node.board.lock().unwrap(), &driven);
 }
 
-fn hold_used(node: &EntryNode, registry: &ServerRegistry, board: &mut ServerBoard, drives: &[Name]) {
+fn add_used_servers(node: &EntryNode, registry: &ServerRegistry, balancer: &mut ServerBoard, driven: &[Name]) {
     for entry in registry.entries() {
-        if board.get(&entry.instance).is_none() && is_used(node, entry, board, drives) {
-            board.put(entry);
+        if balancer.get(&entry.instance).is_none() && is_used(node, entry, balancer, driven) {
+            balancer.put(entry);
         }
     }
 }
 
-/// Takes over an engine that was given to a model, if this node drives jobs of that.
-pub fn hold_assigned(node: &Arc<EntryNode>, instance: &Name, model: &Name) {
+/// Adds an engine that was assigned to a model if this node drives jobs of that model.
+pub fn add_assigned_engine(node: &Arc<EntryNode>, instance: &Name, model: &Name) {
     if !driven_models(node).contains(model) {
         return;
     }
     let registry = node.registry.lock().unwrap();
-    let mut board = node.board.lock().unwrap();
-    if let Some(entry) = registry.get(instance).filter(|_| board.get(instance).is_none()) {
-        board.put(entry);
+    let mut balancer = node.board.lock().unwrap();
+    if let Some(entry) = registry.get(instance).filter(|_| balancer.get(instance).is_none()) {
+        balancer.put(entry);
     }
 }
--- a/crates/trestlerackd/src/entry/status.rs
+++ b/crates/trestlerackd/src/entry/status.rs
@@ -136,9 +136,9 @@
 
 fn level(node: &EntryNode) -> LevelLine {
     LevelLine {
-        source: if node.levels.is_direct() { "store" } else { "follower" },
-        followers: node.levels.followers().map(|followers| followers.len()),
-        passes_on: node.levels.passes_on(),
+        source: if node.follower.is_direct() { "store" } else { "follower" },
+        followers: node.follower.followers().map(|followers| followers.len()),
+        passes_on: node.follower.relays_changes(),
         servers: node.board.lock().unwrap().instances().count(),
     }
 }
--- a/crates/trestlerackd/src/entry/table_watch.rs
+++ b/crates/trestlerackd/src/entry/table_watch.rs
@@ -1,4 +1,4 @@
-//! Follows the store's tables: the operator's, service discovery's and the system's own.
+//! Reads and watches the store's tables: the operator's, service discovery's and the system's own.
 
 use super::node::EntryNode;
 use super::{feed_relay, follower_state, server_discovery, suspects, tables};
@@ -15,59 +15,60 @@
 use trestlerack::{Name, event};
 use trestlerack_platform as platform;
 
-/// Longest wait of a watch. A store that falls silent is noticed this long after it did.
-const WATCH_WAIT_MS: u64 = 700;
+/// Time that a watch waits for changes, in milliseconds. A store that stops responding is noticed after this time.
+const MAX_WATCH_WAIT_MS: u64 = 700;
 
-/// Partitions read at once when a table is read whole. A store that takes 2,000 reads a second at
-/// 4 ms each has 8 under way.
-const READS_AT_ONCE: usize = 8;
+/// Partitions that a full read of a table reads in parallel. A store that serves 2,000 reads a second at 4 ms each
+/// has 8 in flight.
+const MAX_PARALLEL_READS: usize = 8;
 
-/// Pause after news of service discovery, whose entries change with each heartbeat; the bound on
-/// leaving servers is two seconds.
-const SERVER_PAUSE: Duration = Duration::from_millis(150);
+/// Minimum delay between watches of service discovery, whose entries change with each heartbeat. Requests must stop
+/// reaching a draining server within two seconds.
+const MIN_SERVER_DELAY: Duration = Duration::from_millis(150);
 
-/// Shortest pause after news of the system's own rows, so that changes that come one by one are read together.
-const CHANGE_PAUSE: Duration = Duration::from_millis(10);
+/// Minimum delay between watches of the system's own rows, so that changes that arrive one by one are read together.
+const MIN_WATCH_DELAY: Duration = Duration::from_millis(10);
 
-/// Follows one table until the process ends, while this node follows the store.
-pub async fn follow(node: Arc<EntryNode>, table: &'static str) {
-    let mut known: Option<u64> = None;
+/// Reads and watches one table until the process ends; pauses while this node does not follow the store.
+pub async fn follow_table(node: Arc<EntryNode>, table: &'static str) {
+    let mut known_version: Option<u64> = None;
     let mut failures = 0;
     loop {
-        if !node.levels.is_direct() {
-            known = None;
-            node.levels.wait_direct().await;
+        if !node.follower.is_direct() {
+            known_version = None;
+            node.follower.wait_direct().await;
         }
-        if follower_state::is_unread(&node, table) {
-            known = None;
+        if follower_state::needs_full_read(&node, table) {
+            known_version = None;
         }
-        let asked_at = node.now();
-        let step = match known {
-            None => read_whole(&node, table).await.map(Some),
+        let requested_at = node.now();
+        let result = match known_version {
+            None => read_table(&node, table).await.map(Some),
             Some(after) => watch_once(&node, table, after).await,
         };
-        match step {
+        match result {
             Ok(version) => {
                 if table == tables::STATE {
                     node.suspects.set_cut_off(false);
-                    node.end_news.lock().unwrap().record_answer(asked_at);
+                    node.end_news.lock().unwrap().record_answer(requested_at);
                 }
                 node.registry.lock().unwrap().store_regained(node.now());
                 if version.is_none() {
                     logs::write(event::HISTORY_LOST, &[("table", &table)]);
                 }
-                known = version;
-                node.levels.taken_in(table, asked_at, version);
+                known_version = version;
+                node.follower.record_read(table, requested_at, version);
                 failures = 0;
-                clock::sleep(pause_between(&node, table)).await;
+                clock::sleep(watch_delay(&node, table)).await;
             }
             Err(error) => {
                 if table == tables::STATE {
                     node.suspects.set_cut_off(true);
                     node.end_news.lock().unwrap().record_failure();
                 }
-                node.levels.failed();
-                // A store that refuses for a rate is there, and entries do not lapse by that.
+                node.follower.record_store_failure();
+                // A store that rejects a call for its rate limit is available, and server entries do not expire
+                // because of it.
                 if error != StoreError::RateLimited {
                     node.registry.lock().unwrap().store_lost();
                 }
@@ -78,19 +79,19 @@
     }
 }
 
-/// Returns the pause before a table is watched again. The operator's rows change seldom.
-fn pause_between(node: &EntryNode, table: &str) -> Duration {
-    let followers = node.levels.followers().map_or_else(|| node.peers.count(), |followers| followers.len());
-    let paced = watch_interval(followers, node.settings.store_reads_per_s).max(CHANGE_PAUSE);
+/// Returns the delay before a table is watched again; none for the operator's rows, which change rarely.
+fn watch_delay(node: &EntryNode, table: &str) -> Duration {
+    let followers = node.follower.followers().map_or_else(|| node.peers.count(), |followers| followers.len());
+    let interval = watch_interval(followers, node.settings.store_reads_per_s).max(MIN_WATCH_DELAY);
     match table {
         platform::OPERATOR_TABLE => Duration::ZERO,
-        platform::SERVER_TABLE => paced.max(SERVER_PAUSE),
-        _ => paced,
+        platform::SERVER_TABLE => interval.max(MIN_SERVER_DELAY),
+        _ => interval,
     }
 }
 
 async fn watch_once(node: &Arc<EntryNode>, table: &str, after: u64) -> Result<Option<u64>, StoreError> {
-    let call = StoreCall::Watch { table: table.into(), after, wait_ms: WATCH_WAIT_MS };
+    let call = StoreCall::Watch { table: table.into(), after, wait_ms: MAX_WATCH_WAIT_MS };
     match node.store.call(&call).await? {
         StoreReply::Rows { rows, moment, .. } => {
             let newest = rows.iter().map(|row| row.version).max().unwrap_or(0);
@@ -121,20 +122,21 @@
     }
 }
 
-/// Reads a table whole and returns the version from which changes are to be followed.
-async fn read_whole(node: &Arc<EntryNode>, table: &'static str) -> Result<u64, StoreError> {
+/// Reads all rows of a table and returns the version after which to watch for changes.
+async fn read_table(node: &Arc<EntryNode>, table: &'static str) -> Result<u64, StoreError> {
     let (partitions, version) = list_partitions(node, table).await?;
     if table == tables::STATE {
         node.forget_missing_jobs(&partitions, version);
     }
-    let wanted = partitions.into_iter().filter(|partition| table != tables::STATE || !is_over(node, partition));
-    let reads = wanted.map(|partition| async move { tables::read_all(&node.store, table, &partition).await });
-    let pages: Vec<Vec<StoredRow>> = stream::iter(reads).buffer_unordered(READS_AT_ONCE).try_collect().await?;
+    let selected =
+        partitions.into_iter().filter(|partition| table != tables::STATE || !is_finished_job(node, partition));
+    let reads = selected.map(|partition| async move { tables::read_all(&node.store, table, &partition).await });
+    let pages: Vec<Vec<StoredRow>> = stream::iter(reads).buffer_unordered(MAX_PARALLEL_READS).try_collect().await?;
     let all: Vec<StoredRow> = pages.into_iter().flatten().collect();
     match table {
         platform::SERVER_TABLE => server_discovery::replace(node, all),
         tables::STATE => {
-            feed_relay::pass_on_whole(node, table, &all);
+            feed_relay::relay_table(node, table, &all);
             let registered = all.iter().filter(|row| is_node_partition(&row.partition)).map(|row| row.key.clone());
             let registered: Vec<Name> = registered.collect();
             node.peers.forget_missing(&registered, version);
@@ -146,16 +148,16 @@
             node.has_state.store(true, Ordering::Relaxed);
         }
         _ => {
-            feed_relay::pass_on_whole(node, table, &all);
+            feed_relay::relay_table(node, table, &all);
             apply_rows(node, table, all);
         }
     }
     Ok(version)
 }
 
-/// Returns whether a partition is that of a job whose rows do not change any more, as far as this
-/// node knows. Ended jobs stay for a while, and reading all of them again would take seconds.
-fn is_over(node: &EntryNode, partition: &str) -> bool {
+/// Returns whether a partition belongs to a job whose rows no longer change as far as this node knows. Ended jobs
+/// are retained for a while, and reading all of them again would take seconds.
+fn is_finished_job(node: &EntryNode, partition: &str) -> bool {
     node.job(partition).is_some_and(|view| view.is_ended || view.head.is_complete())
 }
 
@@ -166,9 +168,9 @@
         match node.store.call(&StoreCall::Partitions { table: table.into(), after }).await? {
             StoreReply::Partitions { names, more, moment } => {
                 version.get_or_insert(moment.version);
-                let is_over = !more || names.is_empty();
+                let is_last_page = !more || names.is_empty();
                 all.extend(names);
-                if is_over {
+                if is_last_page {
                     return Ok((all, version.unwrap_or(0)));
                 }
             }
@@ -177,10 +179,10 @@
     }
 }
 
-/// Takes over changed rows of a table.
+/// Applies changed rows of a table, and relays them except for those of service discovery.
 pub fn apply_rows(node: &Arc<EntryNode>, table: &str, rows: Vec<StoredRow>) {
     if table != platform::SERVER_TABLE {
-        feed_relay::pass_on(node, table, &rows);
+        feed_relay::relay_rows(node, table, &rows);
     }
     match table {
         platform::OPERATOR_TABLE => rows.iter().for_each(|row| apply_operator_row(node, row)),
@@ -193,8 +195,8 @@
     match platform::decode_operator_row(row) {
         Ok(platform::OperatorRow::Routing(table)) => {
             let mut routing = node.routing.write().unwrap();
-            // Only forward: a stale read must not bring an older configuration back.
-            if routing.as_ref().is_none_or(|held| held.version < table.version) {
+            // A stale read must not restore an older configuration.
+            if routing.as_ref().is_none_or(|current| current.version < table.version) {
                 let fields: [(&str, &dyn std::fmt::Display); 2] = [("version", &table.version), ("row", &row.version)];
                 logs::write(event::ROUTING_APPLIED, &fields);
                 let table = Arc::new(table);
@@ -214,8 +216,8 @@
     }
 }
 
-/// Has the servers compared of plain services that several customers share: one that is slow takes room from
-/// all of them.
+/// Enables comparison of server latencies for plain services that several customers share, because one slow server
+/// takes capacity from all of them.
 fn compare_shared_servers(node: &EntryNode, table: &RoutingTable) {
     if table.customers.is_none() {
         return;
@@ -254,14 +256,14 @@
         node.board.lock().unwrap().assign(&row.key, None);
         return Ok(());
     }
-    learn_assignment(node, &row.key, tables::decode(&row.value)?);
+    apply_assignment(node, &row.key, tables::decode(&row.value)?);
     Ok(())
 }
 
-/// Takes over what an engine was ordered: it takes no new work until it holds the version.
-pub fn learn_assignment(node: &Arc<EntryNode>, instance: &Name, assignment: EngineAssignment) {
+/// Applies the weight order of an engine, which gets no new work until it has loaded the ordered version.
+pub fn apply_assignment(node: &Arc<EntryNode>, instance: &Name, assignment: EngineAssignment) {
     node.board.lock().unwrap().assign(instance, Some(&assignment.model));
-    server_discovery::hold_assigned(node, instance, &assignment.model);
+    server_discovery::add_assigned_engine(node, instance, &assignment.model);
     if assignment.version > 0 {
         let age = Duration::from_millis(node.store.clock_ms().saturating_sub(assignment.ordered_ms));
         let until = node.now() + Duration::from_millis(assignment.load_ms).saturating_sub(age);
--- a/crates/trestlerackd/src/entry/weights.rs
+++ b/crates/trestlerackd/src/entry/weights.rs
@@ -179,7 +179,7 @@
             (instance, EngineAssignment { model, version, ordered_ms, tried_ms, holder, load_ms })
         })
         .collect();
-    decided.iter().for_each(|(instance, assignment)| table_watch::learn_assignment(node, instance, assignment.clone()));
+    decided.iter().for_each(|(instance, assignment)| table_watch::apply_assignment(node, instance, assignment.clone()));
     // Together, since a start decides on many engines.
     for batch in decided.chunks(tables::COMMIT_ROWS) {
         write_assignments(node, batch).await;
@@ -310,12 +310,12 @@
         let now_ms = node.store.clock_ms();
         let is_late = now_ms >= intent.ordered_ms + LATE_ORDER_MS;
         let accepted = EngineAssignment { ordered_ms: now_ms, tried_ms: now_ms, ..intent };
-        table_watch::learn_assignment(node, &planned.order.instance, accepted.clone());
+        table_watch::apply_assignment(node, &planned.order.instance, accepted.clone());
         return is_late.then_some(accepted);
     }
     let (version, ordered_ms) = planned.before.as_ref().map_or((0, 0), |before| (before.version, before.ordered_ms));
     let undone = EngineAssignment { version, ordered_ms, ..intent };
-    table_watch::learn_assignment(node, &planned.order.instance, undone.clone());
+    table_watch::apply_assignment(node, &planned.order.instance, undone.clone());
     Some(undone)
 }
 
--- a/crates/trestlerackd/tests/entry/duties.rs
+++ b/crates/trestlerackd/tests/entry/duties.rs
@@ -1,4 +1,4 @@
-//! Duties to the platform: usage reports and orders of engines, by one holder of the lease at a time.
+//! Duties towards the platform: usage reports and engine orders, which one lease holder at a time carries out.
 
 use super::support::*;
 use serde_json::{Value, json};
@@ -7,7 +7,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Window of usage reports in these tests, and the time in which they are due, in seconds.
+/// Length of the usage windows in these tests, and the time within which a report is due, in seconds.
 const WINDOW_S: u64 = 1;
 const DUE_S: u64 = 6;
 
@@ -28,10 +28,10 @@
     (platform, duties, settings)
 }
 
-/// Adds up what was reported, each window once.
+/// Returns the reported requests by customer, with each window counted once.
 fn reported(duties: &DutyPlatform) -> BTreeMap<String, u64> {
     let mut by_window = BTreeMap::new();
-    for call in duties.calls("/usage").into_iter().filter(|call| call.is_taken()) {
+    for call in duties.calls("/usage").into_iter().filter(|call| call.is_accepted()) {
         by_window.insert(call.body["window"].as_u64().unwrap(), call.body["counts"].clone());
     }
     let mut total = BTreeMap::new();
@@ -54,14 +54,14 @@
     format!("calls:\n{}\nlog:\n{}", calls.join("\n"), lines.join("\n"))
 }
 
-fn ask(daemon: &EntryDaemon, id: &str, key: &str) -> u16 {
+fn send_request(daemon: &EntryDaemon, id: &str, key: &str) -> u16 {
     let bearer = format!("Bearer {key}");
     let headers = [("request-id", id), ("authorization", bearer.as_str())];
     call(&daemon.client, "POST", "/safe/x", &headers, "x").map_or(0, |answer| answer.status)
 }
 
-/// Nodes count, one holder reports: each request once, whichever node served it, however often an
-/// answer of the platform or of a server is lost.
+/// Guards against usage that is lost or reported twice when several nodes count requests, the platform rejects or does
+/// not answer reports, and a server's response breaks off.
 #[test]
 fn usage_is_reported_once_for_each_request_that_ran() {
     let (platform, duties, mut settings) = start();
@@ -69,15 +69,15 @@
     settings.log = Some(log.clone());
     let first = EntryDaemon::start_with("a", &settings);
     let second = EntryDaemon::start_with("b", &DaemonSettings { seeds: vec![first.peer.clone()], ..settings });
-    duties.answer_next(&[429, 0, 503]);
+    duties.respond_next(&[429, 0, 503]);
     for number in 0..10 {
-        assert_eq!(ask(&first, &format!("a{number}"), "k-wash"), 200);
-        assert_eq!(ask(&second, &format!("b{number}"), "k-pension"), 200);
+        assert_eq!(send_request(&first, &format!("a{number}"), "k-wash"), 200);
+        assert_eq!(send_request(&second, &format!("b{number}"), "k-pension"), 200);
     }
-    // One that runs twice is counted once, and one that no customer asked for not at all.
+    // A request that runs twice is counted once, and one with an unknown API key is not counted.
     platform.plain.short_answers.store(1, Ordering::SeqCst);
-    assert_eq!(ask(&second, "twice", "k-pension"), 200);
-    assert_eq!(ask(&second, "bad", "k-nobody"), 401);
+    assert_eq!(send_request(&second, "twice", "k-pension"), 200);
+    assert_eq!(send_request(&second, "bad", "k-nobody"), 401);
     let expected: BTreeMap<String, u64> = [("wash".into(), 10), ("pension".into(), 11)].into();
     let is_sent_again = || duties.calls("/usage").iter().any(|call| call.status == 503);
     let is_reported = || reported(&duties) == expected && is_sent_again();
@@ -95,7 +95,7 @@
     // Delays the holder's first read, so that it opens its reports in a later window than the request's.
     platform.store.slow_down_reads("usage", 2_500);
     let daemon = EntryDaemon::start_with("a", &settings);
-    assert_eq!(ask(&daemon, "r1", "k-wash"), 200);
+    assert_eq!(send_request(&daemon, "r1", "k-wash"), 200);
     std::thread::sleep(Duration::from_secs(WINDOW_S) + Duration::from_millis(200));
     platform.store.slow_down_reads("usage", 0);
     let is_reported = || reported(&duties).get("wash") == Some(&1);
@@ -104,10 +104,10 @@
     std::fs::remove_file(log).unwrap();
 }
 
-/// The holder dies after nodes told it, and one of those nodes dies with it. What they counted is
-/// reported by the next holder, and no window twice with other counts.
+/// Guards against lost or contradictory reports when the lease holder and a node that had sent it usage are killed
+/// together: the next holder reports their usage, and no window gets two reports with different counts.
 #[test]
-fn a_new_holder_reports_what_the_one_before_was_told() {
+fn a_new_holder_reports_usage_sent_to_the_previous_one() {
     let (_platform, duties, settings) = start();
     let mut daemons = vec![EntryDaemon::start_with("a", &settings)];
     let seeds = vec![daemons[0].peer.clone()];
@@ -116,10 +116,10 @@
     daemons.extend(["b", "c"].map(|name| EntryDaemon::start_with(name, &settings)));
     for (index, daemon) in daemons.iter().enumerate() {
         for number in 0..5 {
-            assert_eq!(ask(daemon, &format!("{index}-{number}"), "k-wash"), 200);
+            assert_eq!(send_request(daemon, &format!("{index}-{number}"), "k-wash"), 200);
         }
     }
-    // The holder stores what it is told each second.
+    // The holder stores the snapshots that it received each second.
     std::thread::sleep(Duration::from_millis(1_800));
     for daemon in &mut daemons[..2] {
         daemon.signal("-KILL");
@@ -132,10 +132,10 @@
     duties.check("/usage");
 }
 
-/// An engine is gone: it is ordered again, told by a row first; a zone that has none is not asked
-/// again at once.
+/// Guards against a lost engine that is not replaced. The order is stored before it is sent, and a zone that has no
+/// engines left is not asked again at once.
 #[test]
-fn an_engine_that_is_gone_is_ordered_again() {
+fn a_lost_engine_is_ordered_again() {
     let (platform, duties, settings) = start();
     platform.configure_scaling(
         3,
@@ -143,40 +143,40 @@
         "zone_prices": { "z": 1.0, "cheap": 0.5 } }),
     );
     let _daemon = EntryDaemon::start_with("a", &settings);
-    eventually("the level is known", || platform.store.count("engine-orders", "engine-orders") == 1);
-    assert!(duties.calls("/scale").is_empty(), "nothing is missing");
-    duties.answer_next(&[200, 409]);
+    eventually("the target is stored", || platform.store.count("engine-orders", "engine-orders") == 1);
+    assert!(duties.calls("/scale").is_empty(), "no engine is missing");
+    duties.respond_next(&[200, 409]);
     platform.store.remove("servers", "i-engine-0");
-    eventually("it is ordered again", || duties.calls("/scale").len() >= 2);
+    eventually("the engine is ordered again", || duties.calls("/scale").len() >= 2);
     let orders: Vec<Value> = duties.calls("/scale").into_iter().map(|call| call.body).collect();
     let order = |zone: &str, engines: u32| json!({ "service": "models", "zone": zone, "target_groups": engines });
     assert!(orders[..2].contains(&order("cheap", 1)), "{orders:?}");
     duties.check("/scale");
 }
 
-/// Operators ask a node for its customers and for who does the duties; no key is told.
+/// The status pages for operators list customers and the holders of duties, and reveal no API key.
 #[test]
-fn a_node_tells_its_customers_and_who_does_the_duties() {
+fn the_status_pages_list_customers_and_duty_holders() {
     let (_platform, duties, mut settings) = start();
     let metrics = free_address();
     settings.more["metrics_listen"] = json!(metrics);
     let _daemon = EntryDaemon::start_with("a", &settings);
     eventually("a node holds the lease", || !duties.calls("/usage").is_empty());
-    let ask = |path: &str| call(&metrics, "GET", path, &[], "").unwrap();
-    let customers = ask("/v1/customers");
+    let fetch = |path: &str| call(&metrics, "GET", path, &[], "").unwrap();
+    let customers = fetch("/v1/customers");
     assert_eq!(customers.json()[0], json!({ "name": "wash", "priority": null, "keys": 1, "configuration": 2 }));
     assert!(!customers.body.contains("k-wash"));
-    let lines = ask("/v1/duties").json();
-    let names: Vec<&str> = lines.as_array().unwrap().iter().map(|line| line["duty"].as_str().unwrap()).collect();
+    let rows = fetch("/v1/duties").json();
+    let names: Vec<&str> = rows.as_array().unwrap().iter().map(|row| row["duty"].as_str().unwrap()).collect();
     assert_eq!(names, ["weight orders", "usage reports", "engine orders"]);
-    assert!(lines.as_array().unwrap().iter().all(|line| line["holder"] == "a" && line["is_held_here"] == true));
-    assert!(ask("/metrics").body.contains("trestlerack_entry_connections_opened"));
+    assert!(rows.as_array().unwrap().iter().all(|row| row["holder"] == "a" && row["is_held_here"] == true));
+    assert!(fetch("/metrics").body.contains("trestlerack_entry_connections_opened"));
 }
 
-/// The last report is of long ago, since the system was down. The windows since then are given up in
-/// one line, and the next ones are reported.
+/// Guards against one log line per missed window, and against usage that is no longer reported, after the system was
+/// down for long: the missed windows are skipped with one line, and later ones are reported.
 #[test]
-fn windows_of_a_long_outage_are_given_up_together() {
+fn windows_of_a_long_outage_are_skipped_with_one_log_line() {
     let (platform, duties, mut settings) = start();
     let log = std::env::temp_dir().join(format!("entry-usage-{}.log", std::process::id()));
     settings.log = Some(log.clone());
@@ -185,7 +185,7 @@
     drop(daemon);
     platform.store.rename_rows("usage", |key| key.replace("report-00000000001", "report-00000000000"));
     let daemon = EntryDaemon::start_with("a", &settings);
-    assert_eq!(ask(&daemon, "r1", "k-wash"), 200);
+    assert_eq!(send_request(&daemon, "r1", "k-wash"), 200);
     eventually("the usage is reported", || reported(&duties).get("wash") == Some(&1));
     let text = std::fs::read_to_string(&log).unwrap();
     assert_eq!(text.lines().filter(|line| line.contains("TR2504")).count(), 1);
--- a/crates/trestlerackd/tests/entry/engines.rs
+++ b/crates/trestlerackd/tests/entry/engines.rs
@@ -1,4 +1,4 @@
-//! What engines are told of urgency, and that runs keep to their memory.
+//! The priorities that engines receive, and the limit of runs to an engine's KV cache memory.
 
 use super::support::*;
 use serde_json::json;
@@ -11,8 +11,8 @@
 const KEY: &str = "key-of-one";
 const OTHER_KEY: &str = "key-of-another";
 
-/// Pause between two events, so that runs which start together also run together.
-const PACE: Duration = Duration::from_millis(100);
+/// Time between two events of a stream, so that runs that start together also overlap.
+const EVENT_GAP: Duration = Duration::from_millis(100);
 
 fn start(platform: &Platform, name: &str) -> (EntryDaemon, PathBuf, String) {
     let log = std::env::temp_dir().join(format!("entry-engines-{name}-{}.log", std::process::id()));
@@ -26,20 +26,20 @@
     (EntryDaemon::start_with("a", &settings), log, metrics)
 }
 
-/// Returns the log lines of an event once there are `least` of them; the daemon writes its log in a
-/// thread of its own.
-fn log_lines(log: &Path, event: &str, least: usize) -> Vec<String> {
+/// Returns the log lines of an event once there are at least `min_lines`; the daemon writes its log in a separate
+/// thread.
+fn log_lines(log: &Path, event: &str, min_lines: usize) -> Vec<String> {
     let mut lines: Vec<String> = Vec::new();
     eventually("the log has the lines", || {
         let text = std::fs::read_to_string(log).unwrap();
         lines = text.lines().filter(|line| line.contains(event)).map(str::to_owned).collect();
-        lines.len() >= least
+        lines.len() >= min_lines
     });
     lines
 }
 
-/// Submits a job of two items for the holder of a key, waits until its results are read, and makes a
-/// plain call; the ids of all begin with `name`.
+/// Submits a job of two items with a customer's key, waits until its results can be read, and makes a plain call. The
+/// ids of all requests start with `name`.
 fn send_all(daemon: &EntryDaemon, name: &str, key: &str) {
     let bearer = format!("Bearer {key}");
     let headers = |id: &'static str| [("request-id", id), ("authorization", bearer.as_str())];
@@ -49,23 +49,24 @@
     };
     let body = job_body_of(id, 2, 1);
     assert_eq!(call(&daemon.client, "POST", &format!("/jobs/{id}"), &headers(id), &body).unwrap().status, 202);
-    eventually("the job is whole", || {
+    eventually("the job is complete", || {
         let path = format!("/trestlerack/lots/{id}?after=0");
         call(&daemon.client, "GET", &path, &headers(id), "").is_some_and(|answer| answer.json()["next"] == 2)
     });
     assert_eq!(call(&daemon.client, "POST", "/safe/x", &headers(call_id), "x").unwrap().status, 200);
 }
 
-/// Returns the ranks that servers were told, by the begin of the requests' ids; `None` for none.
-fn told(platform: &Platform, name: &str) -> Vec<Option<String>> {
+/// Returns the priorities in the requests that servers received, for ids that start with `name`; `None` for a request
+/// without a priority.
+fn received_priorities(platform: &Platform, name: &str) -> Vec<Option<String>> {
     let engine = platform.engine.headers.lock().unwrap().clone();
     let plain = platform.plain.headers.lock().unwrap().clone();
-    let of_name = engine.into_iter().chain(plain).filter(|(id, _)| id.starts_with(name));
-    of_name.map(|(_, headers)| headers.get("request-priority").cloned()).collect()
+    let matching = engine.into_iter().chain(plain).filter(|(id, _)| id.starts_with(name));
+    matching.map(|(_, headers)| headers.get("request-priority").cloned()).collect()
 }
 
 #[test]
-fn engines_and_servers_are_told_the_rank_of_a_customer() {
+fn engines_and_servers_receive_the_priority_of_a_customer() {
     let platform = Platform::start();
     platform.configure(
         2,
@@ -74,19 +75,21 @@
     let (daemon, log, _) = start(&platform, "rank");
     send_all(&daemon, "one", KEY);
     send_all(&daemon, "two", OTHER_KEY);
-    // Two items, their scores and a plain call each; the second customer has its routes' rank.
-    assert_eq!(told(&platform, "one"), vec![Some("3".to_owned()); 5]);
-    assert_eq!(told(&platform, "two"), vec![Some("0".to_owned()); 5]);
+    // Each customer has two items, their scores and a plain call. The second customer gets the priority of its
+    // routes.
+    assert_eq!(received_priorities(&platform, "one"), vec![Some("3".to_owned()); 5]);
+    assert_eq!(received_priorities(&platform, "two"), vec![Some("0".to_owned()); 5]);
     let lines = log_lines(&log, "TR2307", 4);
-    let ranks = ["rank=3", "rank=0"].map(|rank| lines.iter().filter(|line| line.contains(rank)).count());
-    assert_eq!(ranks, [2, 2], "{lines:?}");
+    let priorities = ["rank=3", "rank=0"].map(|priority| lines.iter().filter(|line| line.contains(priority)).count());
+    assert_eq!(priorities, [2, 2], "{lines:?}");
     std::fs::remove_file(log).unwrap();
 }
 
-/// The stream breaks off after two events of the four that are expected.
+/// Guards against a resumed stream at the wrong priority. Both streams break off after two events: the one that expects
+/// four is half generated and resumes one step more urgent, the one that expects forty keeps its priority.
 #[test]
-fn a_stream_that_is_half_made_goes_on_one_step_more_urgent() {
-    // Each break pauses its engine for a moment.
+fn a_half_generated_stream_resumes_one_step_more_urgent() {
+    // A broken stream makes its engine unavailable for a moment, so there are more engines than streams.
     let platform = Platform::start_counts(1, 4);
     platform.configure(
         2,
@@ -94,7 +97,7 @@
     );
     let (daemon, log, _) = start(&platform, "resumed");
     let bearer = format!("Bearer {KEY}");
-    for (id, usage, rank) in [("short", "10,4", "2"), ("long", "10,40", "3")] {
+    for (id, usage, priority) in [("short", "10,4", "2"), ("long", "10,40", "3")] {
         platform.engine.broken_streams.store(1, Ordering::SeqCst);
         let mut stream = TcpStream::connect(&daemon.client).unwrap();
         let headers = [
@@ -108,14 +111,14 @@
         let mut text = String::new();
         stream.read_to_string(&mut text).unwrap();
         assert!(text.ends_with("0\r\n\r\n"), "{text}");
-        let told = platform.engine.headers.lock().unwrap()[id].clone();
-        assert_eq!((&*told["last-event-id"], &*told["request-priority"]), ("2", rank), "{id}");
+        let received = platform.engine.headers.lock().unwrap()[id].clone();
+        assert_eq!((&*received["last-event-id"], &*received["request-priority"]), ("2", priority), "{id}");
     }
     std::fs::remove_file(log).unwrap();
 }
 
 #[test]
-fn nobody_is_told_a_rank_where_all_have_the_same() {
+fn no_priority_is_sent_where_all_customers_have_the_same() {
     let platform = Platform::start();
     platform.reconfigure(2, |config| {
         config["tenants"] = json!([{ "name": "one", "api_keys": [KEY], "priority": 3 },
@@ -124,57 +127,58 @@
     let (daemon, log, _) = start(&platform, "no-rank");
     send_all(&daemon, "one", KEY);
     send_all(&daemon, "two", OTHER_KEY);
-    assert_eq!(told(&platform, ""), vec![None; 10]);
+    assert_eq!(received_priorities(&platform, ""), vec![None; 10]);
     assert!(log_lines(&log, "TR2307", 4).iter().all(|line| line.contains("rank=none")));
     std::fs::remove_file(log).unwrap();
 }
 
-/// Two engines of 150 tokens, and items of 100: one fits each engine, although each has four places.
+/// Guards against runs that exceed the memory of an engine: of items of 100 tokens, only one fits an engine of 150
+/// tokens, although each engine has four slots.
 #[test]
-fn a_run_waits_for_an_engine_with_memory_for_it() {
+fn a_run_waits_for_an_engine_with_enough_memory() {
     let platform = Platform::start();
     platform.reconfigure(2, |config| config["services"][1]["engine"]["kv_capacity"] = json!(150));
-    platform.engine.pace_ms.store(PACE.as_millis() as usize, Ordering::SeqCst);
+    platform.engine.pace_ms.store(EVENT_GAP.as_millis() as usize, Ordering::SeqCst);
     let (daemon, log, metrics) = start(&platform, "memory");
     assert_eq!(submit(&daemon, "job1", 4), 202);
-    eventually("both engines hold a run", || {
+    eventually("both engines have a run", || {
         let page = call(&metrics, "GET", "/metrics", &[], "").unwrap().body;
-        let shown = page.lines().filter(|line| line.starts_with("trestlerack_entry_engine_tokens{"));
-        let tokens: Vec<&str> = shown.filter_map(|line| line.split(' ').next_back()).collect();
+        let metric_lines = page.lines().filter(|line| line.starts_with("trestlerack_entry_engine_tokens{"));
+        let tokens: Vec<&str> = metric_lines.filter_map(|line| line.split(' ').next_back()).collect();
         assert!(tokens.iter().all(|tokens| *tokens == "100"), "{page}");
         tokens.len() == 2
     });
     assert_eq!(read_all(&daemon, "job1", 4).len(), 4);
-    let begins = platform.engine.last_runs.lock().unwrap().clone();
+    let starts = platform.engine.last_runs.lock().unwrap().clone();
     let headers = platform.engine.headers.lock().unwrap().clone();
     for engine in ["i-engine-0", "i-engine-1"] {
-        let here = |id: &String| headers[id]["expect-instance"] == engine;
-        let mut times: Vec<Instant> = begins.iter().filter(|(id, _)| here(id)).map(|(_, at)| *at).collect();
+        let is_here = |id: &String| headers[id]["expect-instance"] == engine;
+        let mut times: Vec<Instant> = starts.iter().filter(|(id, _)| is_here(id)).map(|(_, at)| *at).collect();
         times.sort();
-        // A run lasts five events; the next one begins once it has ended.
-        let is_apart = |pair: &[Instant]| pair[1] - pair[0] >= PACE * EVENTS as u32;
-        assert!(times.len() == 2 && times.windows(2).all(is_apart), "{engine}: {times:?}");
+        // A run lasts five events, and the next one starts after it has ended.
+        let is_sequential = |pair: &[Instant]| pair[1] - pair[0] >= EVENT_GAP * EVENTS as u32;
+        assert!(times.len() == 2 && times.windows(2).all(is_sequential), "{engine}: {times:?}");
     }
-    let left = log_lines(&log, "TR2311", 1);
-    assert!(left.iter().all(|line| line.contains("held=100") && line.contains("wanted=100")));
-    eventually("nothing is held any more", || {
+    let skipped = log_lines(&log, "TR2311", 1);
+    assert!(skipped.iter().all(|line| line.contains("held=100") && line.contains("wanted=100")));
+    eventually("no memory is in use any more", || {
         !call(&metrics, "GET", "/metrics", &[], "").unwrap().body.contains("trestlerack_entry_engine_tokens")
     });
     std::fs::remove_file(log).unwrap();
 }
 
 #[test]
-fn what_is_too_large_for_any_engine_is_refused_or_left_to_the_engine() {
+fn requests_too_large_for_any_engine_are_refused_or_left_to_the_engine() {
     let platform = Platform::start();
     platform.reconfigure(2, |config| config["services"][1]["engine"]["kv_capacity"] = json!(80));
     let (daemon, log, _) = start(&platform, "oversize");
     let headers = [("request-id", "g1"), ("model", "m"), ("token-usage", "80,10")];
     let answer = call(&daemon.client, "POST", "/streamed/x", &headers, "x").unwrap();
     assert_eq!(answer.status, 503);
-    assert!(answer.headers["retry-after"].parse::<f64>().unwrap() >= 1.0, "it does not help to come back at once");
-    assert!(platform.engine.runs.lock().unwrap().is_empty(), "it was sent to no engine");
+    assert!(answer.headers["retry-after"].parse::<f64>().unwrap() >= 1.0, "an immediate retry would fail again");
+    assert!(platform.engine.runs.lock().unwrap().is_empty(), "the request was sent to no engine");
     assert_eq!(log_lines(&log, "TR2313", 1).len(), 1);
-    // Items of 100 tokens; that is what they may need at most, so only an engine can refuse them.
+    // Items may need up to 100 tokens but may end with fewer, so only an engine can refuse them.
     assert_eq!(submit(&daemon, "job1", 2), 202);
     assert!(read_all(&daemon, "job1", 2).iter().all(|result| result["state"] == "completed"));
     assert_eq!(log_lines(&log, "TR2312", 2).len(), 2);
--- a/crates/trestlerackd/tests/entry/support/duties.rs
+++ b/crates/trestlerackd/tests/entry/support/duties.rs
@@ -1,4 +1,4 @@
-//! The platform's interface for duties, by its published page: it takes calls and remembers them.
+//! Stand-in for the platform's duty interface, as its published page describes it, which records the calls.
 
 use super::server::{reply, serve};
 use serde_json::Value;
@@ -6,10 +6,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Time within which two holders must not take turns, as the daemons of tests are told.
-const TURN_TIME: Duration = Duration::from_millis(300);
+/// Minimum time between two calls of a holder with another holder's call in between, as in the settings of test
+/// daemons.
+const MIN_HANDBACK_TIME: Duration = Duration::from_millis(300);
 
-/// A call that came.
+/// A received call.
 #[derive(Clone, Debug)]
 pub struct DutyCall {
     pub path: String,
@@ -17,13 +18,13 @@
     pub fence: u64,
     pub body: Value,
     pub at: Instant,
-    /// Status that it got; 0 for none.
+    /// Response status; 0 if there was no response.
     pub status: u16,
 }
 
 impl DutyCall {
-    /// Returns whether the platform took it.
-    pub fn is_taken(&self) -> bool {
+    /// Returns whether the platform accepted the call, also if the response was lost.
+    pub fn is_accepted(&self) -> bool {
         matches!(self.status, 0 | 200)
     }
 }
@@ -31,11 +32,11 @@
 #[derive(Default)]
 struct DutyState {
     calls: Vec<DutyCall>,
-    /// Statuses of the next calls; 0 takes the call and loses its answer.
-    next: Vec<u16>,
+    /// Statuses of the next calls; 0 accepts the call and sends no response.
+    next_statuses: Vec<u16>,
 }
 
-/// The interface.
+/// The platform's duty interface.
 #[derive(Clone)]
 pub struct DutyPlatform {
     state: Arc<Mutex<DutyState>>,
@@ -49,7 +50,7 @@
         let address = serve(move |request, stream| {
             let status = {
                 let mut state = handler_state.lock().unwrap();
-                let status = if state.next.is_empty() { 200 } else { state.next.remove(0) };
+                let status = if state.next_statuses.is_empty() { 200 } else { state.next_statuses.remove(0) };
                 state.calls.push(DutyCall {
                     path: request.path.clone(),
                     holder: request.headers["lease-holder"].clone(),
@@ -69,9 +70,9 @@
         Self { state, address }
     }
 
-    /// Answers the next calls with these statuses; 0 takes a call and loses its answer.
-    pub fn answer_next(&self, statuses: &[u16]) {
-        self.state.lock().unwrap().next.extend(statuses);
+    /// Sets the response statuses of the next calls; 0 accepts a call and sends no response.
+    pub fn respond_next(&self, statuses: &[u16]) {
+        self.state.lock().unwrap().next_statuses.extend(statuses);
     }
 
     /// Returns the calls to a path so far.
@@ -79,18 +80,18 @@
         self.state.lock().unwrap().calls.iter().filter(|call| call.path == path).cloned().collect()
     }
 
-    /// Checks what must hold of all calls to a path: fencing numbers never fall, none has two
-    /// holders, holders take no turns within `TURN_TIME`, and a window has one report only.
+    /// Checks all calls to a path: fencing tokens never decrease, none is used by two holders, calls do not alternate
+    /// between holders within `MIN_HANDBACK_TIME`, and a window has only one report.
     pub fn check(&self, path: &str) {
         let calls = self.calls(path);
         for pair in calls.windows(2) {
             assert!(pair[0].fence <= pair[1].fence, "{pair:?}");
             assert!(pair[0].fence != pair[1].fence || pair[0].holder == pair[1].holder, "{pair:?}");
         }
-        for three in calls.windows(3) {
-            let [first, middle, last] = three else { unreachable!("windows of three") };
-            let takes_turns = first.holder == last.holder && middle.holder != last.holder;
-            assert!(!takes_turns || last.at - first.at > TURN_TIME, "{first:?} {middle:?} {last:?}");
+        for triple in calls.windows(3) {
+            let [first, middle, last] = triple else { unreachable!("windows of three") };
+            let is_handed_back = first.holder == last.holder && middle.holder != last.holder;
+            assert!(!is_handed_back || last.at - first.at > MIN_HANDBACK_TIME, "{first:?} {middle:?} {last:?}");
         }
         for call in calls.iter().filter(|call| call.path == "/usage") {
             let same = |other: &&DutyCall| other.body["window"] == call.body["window"];
