--- a/crates/trestlerack/benches/decisions.rs
+++ b/crates/trestlerack/benches/decisions.rs
@@ -9,16 +9,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 use trestlerack::process::{
-    BoardSettings, EligibleNode, EngineOwners, Heartbeat, Liveness, MembershipEvent, MembershipSettings, OwnershipView,
-    PeerInfo, PeerMembership, PeerUpdate, ServerBoard, ServerEntry, ServerNeed, ServerRegistry, ServerRoom,
+    BalancerSettings, EligibleNode, EngineOwners, Heartbeat, Liveness, LoadBalancer, MembershipEvent,
+    MembershipSettings, OwnershipView, PeerInfo, PeerMembership, PeerUpdate, ServerEntry, ServerNeed, ServerRegistry,
+    SlotNeed,
 };
 use trestlerack::request::{
     ChoicePolicy, DispatchEngine, DispatchEvent, DispatchSettings, EngineCandidate, EngineChooser, EngineDispatcher,
     GroupDriver, GroupEvent, GroupSettings, QueuedCall,
 };
 use trestlerack::version::{
-    Backend, BackendKind, ConfigDelta, ConfigFollower, FollowAction, FollowEvent, Item, ItemBody, RolloutEngine,
-    RolloutEvent, RolloutPlanner, RolloutSettings, WeightTarget,
+    Backend, BackendKind, ConfigContent, ConfigDelta, ConfigFollower, ConfigItem, FollowAction, FollowEvent,
+    RolloutEngine, RolloutEvent, RolloutPlanner, RolloutSettings, WeightTarget,
 };
 use trestlerack::{AllowedZones, Name, Timestamp};
 
@@ -82,9 +83,9 @@
 const BOARD_ENGINE_COUNTS: [usize; 3] = [44, 300, 3_000];
 
 /// Returns a board whose engines all serve one model and have a known time per event.
-fn server_board(engines: usize) -> ServerBoard {
+fn server_board(engines: usize) -> LoadBalancer {
     let mut registry = ServerRegistry::default();
-    let mut board = ServerBoard::new(BoardSettings::default());
+    let mut balancer = LoadBalancer::new(BalancerSettings::default());
     for number in 0..engines {
         let entry = ServerEntry {
             instance: engine_name(number),
@@ -99,33 +100,33 @@
         };
         registry.put(entry);
     }
-    board.sync(&registry);
+    balancer.sync(&registry);
     for number in 0..engines {
         let pace = Duration::from_millis(35 + number as u64 % 10);
-        board.event_gap(Timestamp(10_000), &engine_name(number), pace);
+        balancer.record_event_gap(Timestamp(10_000), &engine_name(number), pace);
     }
-    board
+    balancer
 }
 
 /// Measures the choice of an engine for an item, including the updates of the calls in flight.
 fn place_item(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("place-item");
     for engines in BOARD_ENGINE_COUNTS {
-        let mut board = server_board(engines);
+        let mut balancer = server_board(engines);
         let need = ServerNeed {
             service: "models",
             weights: Some(("model", 1)),
-            room: ServerRoom::Place,
+            slot_need: SlotNeed::One,
             zone: "zone-1",
             tie_key: "node-1",
             ..ServerNeed::default()
         };
         group.bench_function(BenchmarkId::from_parameter(engines), |bencher| {
             bencher.iter(|| {
-                let chosen = board.choose(Timestamp(10_100), &need).map(|belief| belief.entry.instance.clone());
+                let chosen = balancer.choose(Timestamp(10_100), &need).map(|server| server.entry.instance.clone());
                 if let Some(engine) = chosen {
-                    board.started(&engine);
-                    board.ended(&engine);
+                    balancer.started(&engine);
+                    balancer.ended(&engine);
                 }
             });
         });
@@ -171,10 +172,11 @@
         let mut planner = RolloutPlanner::new(RolloutSettings::default());
         let declared = (0..engines).map(|number| RolloutEngine { name: engine_name(number), checks_fencing: true });
         planner.handle(Timestamp(1), RolloutEvent::Engines(declared.collect()));
-        let target = WeightTarget { model: "m".into(), version: 1, fence: 1, serving_percent: 50, quiet_over: true };
+        let target =
+            WeightTarget { model: "m".into(), version: 1, fence: 1, serving_percent: 50, is_handover_complete: true };
         planner.handle(Timestamp(1), RolloutEvent::Target(target));
         group.bench_function(BenchmarkId::from_parameter(engines), |bencher| {
-            let event = RolloutEvent::Held { engine: engine_name(1), version: 1 };
+            let event = RolloutEvent::VersionReported { engine: engine_name(1), version: 1 };
             bencher.iter(|| black_box(planner.handle(Timestamp(2), event.clone())));
         });
     }
@@ -256,7 +258,7 @@
     }
 }
 
-fn item(number: usize, slots: u32) -> (Name, Arc<Item>) {
+fn item(number: usize, slots: u32) -> (Name, Arc<ConfigItem>) {
     let backend = Backend {
         name: engine_name(number),
         kind: BackendKind::Engine,
@@ -267,10 +269,10 @@
         checks_fencing: true,
         idempotent: false,
         honours_keys: false,
-        leaving: false,
+        is_draining: false,
     };
-    let body = ItemBody::Backend(backend);
-    (body.key(), Arc::new(Item { scope: "scope".into(), body }))
+    let body = ConfigContent::Backend(backend);
+    (body.key(), Arc::new(ConfigItem { scope: "scope".into(), body }))
 }
 
 fn configuration_change(criterion: &mut Criterion) {
--- a/crates/trestlerackd/src/entry/duties/engines.rs
+++ b/crates/trestlerackd/src/entry/duties/engines.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use trestlerack::interfaces::StoreError;
-use trestlerack::process::{EngineFleet, FleetRow, FleetSettings, ScalingTerms, ZoneEngines};
+use trestlerack::process::{FleetController, FleetRow, FleetSettings, ScalingConfig, ZoneEngines};
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall, StoreReply};
 use trestlerack::{Name, event};
 use trestlerack_platform::{self as platform, DutyAnswer};
@@ -20,7 +20,7 @@
 /// Engine orders of one service, as the lease holder knows them.
 #[derive(Default)]
 struct ServiceState {
-    controller: EngineFleet,
+    controller: FleetController,
     /// Orders as stored, and the version of that row.
     row: FleetRow,
     version: u64,
@@ -54,7 +54,7 @@
     node: &Arc<EntryNode>,
     caller: &DutyCaller,
     service: &Name,
-    scaling: &ScalingTerms,
+    scaling: &ScalingConfig,
     states: &mut BTreeMap<Name, ServiceState>,
 ) -> Result<(), StoreError> {
     if !states.contains_key(service) {
@@ -75,7 +75,7 @@
 /// has them.
 async fn load_state(node: &Arc<EntryNode>, service: &Name) -> Result<ServiceState, StoreError> {
     let rows = tables::read_all(&node.store, tables::ENGINE_ORDERS, tables::ENGINE_ORDERS).await?;
-    let controller = EngineFleet::new(FleetSettings::default());
+    let controller = FleetController::new(FleetSettings::default());
     let Some(row) = rows.into_iter().find(|row| row.key == *service) else {
         return Ok(ServiceState { controller, ..ServiceState::default() });
     };
@@ -156,7 +156,7 @@
         DutyAnswer::NoneLeft | DutyAnswer::Refused => {
             state.unsent.remove(0);
             state.row.orders.remove(&zone);
-            state.controller.refused(node.now(), &zone);
+            state.controller.record_refusal(node.now(), &zone);
         }
         DutyAnswer::RateLimited | DutyAnswer::Unknown => {}
     }
--- a/crates/trestlerackd/src/entry/duties/mod.rs
+++ b/crates/trestlerackd/src/entry/duties/mod.rs
@@ -1,6 +1,6 @@
 //! Duties of the lease holder towards the platform: usage reports and orders of engines.
 //!
-//! The decisions are in the library (`process/duty_gate`, `process/usage`, `process/engine_fleet`);
+//! The decisions are in the library (`process/duty_gate`, `process/usage`, `process/fleet_controller`);
 //! see [docs/PLATFORM.md](../../../../../docs/PLATFORM.md#duties).
 
 mod calls;
--- a/crates/trestlerackd/src/entry/follower_state.rs
+++ b/crates/trestlerackd/src/entry/follower_state.rs
@@ -204,7 +204,7 @@
 
     /// Returns whether a server is in a node's subset.
     pub fn is_in_subset(&self, node: &str, zone: &str, entry: &ServerEntry) -> bool {
-        self.counts.lock().unwrap().is_in_part(node, zone, entry)
+        self.counts.lock().unwrap().is_in_subset(node, zone, entry)
     }
 }
 
@@ -291,7 +291,7 @@
         }
         if has_followers { ServerCounts::of(registry.entries()) } else { ServerCounts::default() }
     };
-    let is_replaced = node.follower.counts.lock().unwrap().redraw(counts);
+    let is_replaced = node.follower.counts.lock().unwrap().replace_if_changed(counts);
     if is_replaced {
         *node.follower.counts_changed_at.lock().unwrap() = node.now();
         node.follower.counts_id.store(rand::random(), Ordering::Relaxed);
--- a/crates/trestlerackd/src/entry/server_discovery.rs
+++ b/crates/trestlerackd/src/entry/server_discovery.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
-use trestlerack::process::{ServerBoard, ServerEntry, ServerRegistry};
+use trestlerack::process::{LoadBalancer, ServerEntry, ServerRegistry};
 use trestlerack::rows::StoredRow;
 use trestlerack::{Name, event};
 use trestlerack_platform as platform;
@@ -161,7 +161,7 @@
     {
         let driven = driven_models(node);
         let registry = node.registry.lock().unwrap();
-        let mut balancer = node.board.lock().unwrap();
+        let mut balancer = node.balancer.lock().unwrap();
         for entry in &changes.changed {
             // A later change may have been applied in the meantime.
             if let Some(entry) = registry.get(&entry.instance)
@@ -204,7 +204,7 @@
 
 /// Returns whether this node uses a server: the server is in the node's subset, or an engine of a model whose
 /// jobs the node drives.
-fn is_used(node: &EntryNode, entry: &ServerEntry, balancer: &ServerBoard, driven: &[Name]) -> bool {
+fn is_used(node: &EntryNode, entry: &ServerEntry, balancer: &LoadBalancer, driven: &[Name]) -> bool {
     let model = balancer.assigned_model(&entry.instance);
     model.is_some_and(|model| driven.contains(model)) || is_in_own_subset(node, entry)
 }
@@ -218,7 +218,7 @@
 pub fn refresh_balancer(node: &Arc<EntryNode>) {
     let driven = driven_models(node);
     let registry = node.registry.lock().unwrap();
-    let mut balancer = node.board.lock().unwrap();
+    let mut balancer = node.balancer.lock().unwrap();
     add_used_servers(node, &registry, &mut balancer, &driven);
     let unused = balancer.instances().filter(|instance| {
         let entry = registry.get(instance);
@@ -232,10 +232,10 @@
 pub fn add_driven_engines(node: &Arc<EntryNode>) {
     let driven = driven_models(node);
     let registry = node.registry.lock().unwrap();
-    add_used_servers(node, &registry, &mut node.board.lock().unwrap(), &driven);
+    add_used_servers(node, &registry, &mut node.balancer.lock().unwrap(), &driven);
 }
 
-fn add_used_servers(node: &EntryNode, registry: &ServerRegistry, balancer: &mut ServerBoard, driven: &[Name]) {
+fn add_used_servers(node: &EntryNode, registry: &ServerRegistry, balancer: &mut LoadBalancer, driven: &[Name]) {
     for entry in registry.entries() {
         if balancer.get(&entry.instance).is_none() && is_used(node, entry, balancer, driven) {
             balancer.put(entry);
@@ -249,7 +249,7 @@
         return;
     }
     let registry = node.registry.lock().unwrap();
-    let mut balancer = node.board.lock().unwrap();
+    let mut balancer = node.balancer.lock().unwrap();
     if let Some(entry) = registry.get(instance).filter(|_| balancer.get(instance).is_none()) {
         balancer.put(entry);
     }
--- a/crates/trestlerackd/src/entry/table_watch.rs
+++ b/crates/trestlerackd/src/entry/table_watch.rs
@@ -202,7 +202,7 @@
                 let table = Arc::new(table);
                 *routing = Some(table.clone());
                 drop(routing);
-                node.board.lock().unwrap().memory.set_capacities(&table);
+                node.balancer.lock().unwrap().memory.set_capacities(&table);
                 compare_shared_servers(node, &table);
             }
         }
@@ -222,9 +222,9 @@
     if table.customers.is_none() {
         return;
     }
-    let mut board = node.board.lock().unwrap();
+    let mut balancer = node.balancer.lock().unwrap();
     for service in table.services.values().filter(|service| service.models.is_empty()) {
-        board.compare_servers(&service.name);
+        balancer.compare_servers(&service.name);
     }
 }
 
@@ -253,7 +253,7 @@
 fn apply_engine_row(node: &Arc<EntryNode>, row: &StoredRow) -> Result<(), StoreError> {
     if row.removed {
         node.weights.assign(&row.key, None);
-        node.board.lock().unwrap().assign(&row.key, None);
+        node.balancer.lock().unwrap().assign(&row.key, None);
         return Ok(());
     }
     apply_assignment(node, &row.key, tables::decode(&row.value)?);
@@ -262,12 +262,12 @@
 
 /// Applies the weight order of an engine, which gets no new work until it has loaded the ordered version.
 pub fn apply_assignment(node: &Arc<EntryNode>, instance: &Name, assignment: EngineAssignment) {
-    node.board.lock().unwrap().assign(instance, Some(&assignment.model));
+    node.balancer.lock().unwrap().assign(instance, Some(&assignment.model));
     server_discovery::add_assigned_engine(node, instance, &assignment.model);
     if assignment.version > 0 {
         let age = Duration::from_millis(node.store.clock_ms().saturating_sub(assignment.ordered_ms));
         let until = node.now() + Duration::from_millis(assignment.load_ms).saturating_sub(age);
-        node.board.lock().unwrap().loading(instance, &assignment.model, assignment.version, until);
+        node.balancer.lock().unwrap().record_loading(instance, &assignment.model, assignment.version, until);
     }
     node.weights.assign(instance, Some(assignment));
 }
