--- a/crates/trestlerackd/src/entry/follower_state.rs
+++ b/crates/trestlerackd/src/entry/follower_state.rs
@@ -255,8 +255,8 @@
         true => node.registry.lock().unwrap().entries().count(),
         false => node.follower.counts().total(),
     };
-    // Uses the largest number seen so far: servers appear one by one when a fleet starts, and the choice of
-    // followers must not change with each of them.
+    // Uses the largest number seen so far: servers appear one by one when a fleet starts, and more servers mean
+    // fewer followers. A node that has become one of few followers stays one for now.
     let highest = node.follower.max_servers.fetch_max(known, Ordering::Relaxed).max(known);
     let is_settled = node.now().since(node.follower.started_at) >= STARTUP_TIME;
     (is_settled && highest > 0).then_some(highest)
