--- a/crates/trestlerackd/src/entry/job_driver.rs
+++ b/crates/trestlerackd/src/entry/job_driver.rs
@@ -2,7 +2,7 @@
 
 use super::drive_mode::DriveMode;
 use super::node::EntryNode;
-use super::{job_records, job_runs, job_scores, job_texts, run_moves, score_calls, server_feed};
+use super::{job_records, job_runs, job_scores, job_texts, run_moves, score_calls, server_discovery};
 use crate::process::clock;
 use crate::process::logs;
 use std::collections::{BTreeSet, HashMap, HashSet};
@@ -217,7 +217,7 @@
     }
     let driver = Arc::new(JobDriver::new(spec.clone(), &record, tracker, memory));
     node.drivers.lock().unwrap().insert(spec.id.clone(), driver.clone());
-    server_feed::hold_driven(&node);
+    server_discovery::add_driven_engines(&node);
     // The job may have ended after its rows were read and before the driver was registered.
     if node.job(&spec.id).is_some_and(|view| view.is_ended) {
         driver.end();
