--- a/crates/trestlerackd/src/entry/attempt.rs
+++ b/crates/trestlerackd/src/entry/attempt.rs
@@ -1,9 +1,9 @@
 //! One attempt of a request at one backend server.
 
+use super::in_flight::ServerTicket;
 use super::node::EntryNode;
 use super::pool::{ConnectionLease, ExchangeError};
-use super::server_ticket::ServerTicket;
-use super::{held, room, server_answers, server_end, suspects};
+use super::{crash_detection, held, room, server_responses, suspects};
 use crate::process::clock;
 use crate::process::tracing::HopSpan;
 use bytes::Bytes;
@@ -116,7 +116,7 @@
                     AttemptError::NotRun(detail)
                 }
                 ExchangeError::NoAnswer(detail) => {
-                    server_end::connection_broke(node, &ticket, &request_id).await;
+                    crash_detection::connection_broke(node, &ticket, &request_id).await;
                     AttemptError::MayHaveRun(detail)
                 }
             });
@@ -131,7 +131,7 @@
     if let Some(load) = head.load {
         node.balancer.lock().unwrap().record_load(node.now(), &instance, load.running, load.waiting);
         if let Some(percent) = load.slowness_percent {
-            server_answers::record_reported_slowness(node, &instance, percent);
+            server_responses::record_reported_slowness(node, &instance, percent);
         }
     }
     let is_other_server = parts.status == StatusCode::MISDIRECTED_REQUEST;
@@ -188,7 +188,7 @@
         let body = held::read_answer(node, &request_id, open.body, MAX_ANSWER).await;
         let Some((body, held)) = body else {
             node.balancer.lock().unwrap().failed(node.now(), &instance);
-            server_end::connection_broke(node, &open.ticket, &request_id).await;
+            crash_detection::connection_broke(node, &open.ticket, &request_id).await;
             return Err(AttemptError::MayHaveRun("the answer broke off".into()));
         };
         node.balancer.lock().unwrap().succeeded(&instance);
--- a/crates/trestlerackd/src/entry/attempts.rs
+++ b/crates/trestlerackd/src/entry/attempts.rs
@@ -5,11 +5,11 @@
 
 use super::attempt::{self, AttemptError, WholeAnswer};
 use super::front::ClientRequest;
+use super::in_flight::ServerTicket;
 use super::node::EntryNode;
 use super::plain::{self, Shortfall};
-use super::server_answers::{self, AnswerWatch};
-use super::server_ticket::ServerTicket;
-use super::trail::RequestTrail;
+use super::request_history::RequestTrail;
+use super::server_responses::{self, AnswerWatch};
 use super::{room, second_attempts, suspects, urgency};
 use crate::process::clock;
 use futures_util::StreamExt;
@@ -318,7 +318,7 @@
     /// Records that servers have not answered yet.
     fn note_outstanding(&self, open: &[OpenAttempt]) {
         for attempt in open {
-            server_answers::outstanding(self.node, &attempt.server, &self.route.name, attempt.watch);
+            server_responses::outstanding(self.node, &attempt.server, &self.route.name, attempt.watch);
         }
     }
 
@@ -327,7 +327,7 @@
         let slower =
             open.iter().filter(|attempt| winner_started.is_some_and(|started| attempt.watch.started < started));
         for attempt in slower {
-            server_answers::cut(self.node, &attempt.server, &self.route.name, attempt.watch);
+            server_responses::cut(self.node, &attempt.server, &self.route.name, attempt.watch);
         }
     }
 
@@ -350,17 +350,17 @@
         engine_request.priority = urgency::of_request(node, route, &ticket.server.service, request, left, None);
         let outcome = attempt::whole_answer(node, ticket, engine_request, !self.is_safe(), limit).await;
         match &outcome {
-            Ok(answer) if answer.status.is_server_error() => server_answers::failed(node, &server),
+            Ok(answer) if answer.status.is_server_error() => server_responses::failed(node, &server),
             Ok(_) => {
                 let took = node.now().since(watch.started);
                 node.route_times.lock().unwrap().record(&route.name, took);
                 plain::note_work(node, route, request, took);
-                server_answers::took(node, &server, &route.name, watch);
+                server_responses::took(node, &server, &route.name, watch);
             }
             Err(error) if error.is_not_run() => {}
             Err(_) => {
-                server_answers::failed(node, &server);
-                server_answers::outstanding(node, &server, &route.name, watch);
+                server_responses::failed(node, &server);
+                server_responses::outstanding(node, &server, &route.name, watch);
             }
         }
         (server, outcome)
--- a/crates/trestlerackd/src/entry/server_end.rs
+++ b/crates/trestlerackd/src/entry/crash_detection.rs
@@ -1,8 +1,8 @@
 //! Finds out whether a backend server ended as it ran a request, or only a connection did.
 
+use super::in_flight::ServerTicket;
 use super::node::EntryNode;
 use super::pool::ListenState;
-use super::server_ticket::ServerTicket;
 use super::suspects;
 use crate::process::{clock, logs};
 use std::sync::Arc;
--- a/crates/trestlerackd/src/entry/item_run.rs
+++ b/crates/trestlerackd/src/entry/item_run.rs
@@ -1,11 +1,11 @@
 //! One run of an item at one model engine.
 
 use super::attempt::{self, AttemptError, OpenAnswer};
+use super::in_flight::ServerTicket;
 use super::job_driver::JobDriver;
 use super::job_runs;
 use super::node::EntryNode;
-use super::server_ticket::ServerTicket;
-use super::{server_end, shares, suspects};
+use super::{crash_detection, shares, suspects};
 use crate::process::clock;
 use crate::process::logs;
 use http::{HeaderMap, HeaderName, HeaderValue, Method, StatusCode};
@@ -174,7 +174,7 @@
             Ok(Some(Ok(frame))) => frame,
             Ok(Some(Err(error))) => {
                 node.balancer.lock().unwrap().failed(node.now(), &instance);
-                server_end::connection_broke(node, &ticket, &item.id).await;
+                crash_detection::connection_broke(node, &ticket, &item.id).await;
                 return (RunEnd::Broken, error.to_string());
             }
             Ok(None) => break,
--- a/crates/trestlerackd/src/entry/job_runs.rs
+++ b/crates/trestlerackd/src/entry/job_runs.rs
@@ -1,9 +1,9 @@
 //! Places the items of a job on engines and starts second runs.
 
+use super::in_flight::ServerTicket;
 use super::item_run::{self, RunStart};
 use super::job_driver::{ItemRun, JobDriver};
 use super::node::EntryNode;
-use super::server_ticket::ServerTicket;
 use super::{choice_log, engine_memory, suspects, urgency};
 use crate::process::logs;
 use std::sync::Arc;
--- a/crates/trestlerackd/src/entry/news/mod.rs
+++ b/crates/trestlerackd/src/entry/load_gossip/mod.rs
@@ -3,10 +3,10 @@
 //! Each kind of news has a module of its own that says what is to be told and takes over what was; this
 //! one only carries. See [docs/design/room.md](../../../../../docs/design/room.md).
 
-pub mod server_news;
-mod share_news;
+pub mod observations;
+mod shares;
 
-pub use share_news::tell_adders;
+pub use shares::tell_adders;
 
 use super::node::EntryNode;
 use futures_util::future::join_all;
@@ -17,9 +17,9 @@
 /// Takes over what a peer tells, and returns what it asked for.
 pub fn answer_peer(node: &Arc<EntryNode>, news: LoadMessage) -> LoadMessage {
     let is_asking = news.is_empty();
-    share_news::learn(node, news.shares);
-    let shares = share_news::answer(node, &news.sender, &news.usage);
-    let servers = server_news::answer(node, news.servers, is_asking);
+    shares::learn(node, news.shares);
+    let shares = shares::answer(node, &news.sender, &news.usage);
+    let servers = observations::answer(node, news.servers, is_asking);
     LoadMessage { sender: node.settings.name.clone(), shares, servers, ..LoadMessage::default() }
 }
 
@@ -34,7 +34,7 @@
 async fn exchange(node: &Arc<EntryNode>, peer: &Name, news: LoadMessage) -> bool {
     let news = LoadMessage { sender: node.settings.name.clone(), ..news };
     let Some(answer) = node.peers.tell_news(peer, news).await else { return false };
-    share_news::learn(node, answer.shares);
-    server_news::learn(node, answer.servers);
+    shares::learn(node, answer.shares);
+    observations::learn(node, answer.servers);
     true
 }
--- a/crates/trestlerackd/src/entry/peers.rs
+++ b/crates/trestlerackd/src/entry/peers.rs
@@ -3,7 +3,7 @@
 use super::adoption;
 use super::feed_relay::{self, FeedCall, FeedReply};
 use super::held::HeldDecision;
-use super::news;
+use super::load_gossip;
 use super::node::EntryNode;
 use super::pool::ConnectionPool;
 use super::suspects;
@@ -359,7 +359,7 @@
         PeerCall::Strikes { notes } => PeerReply::Strikes(suspects::answer_peer(node, &notes)),
         PeerCall::Feed(call) => PeerReply::Feed(feed_relay::answer(node, call).await),
         PeerCall::Trial { server, fingerprint } => PeerReply::Trial(suspects::grant_trial(node, &server, fingerprint)),
-        PeerCall::News(told) => PeerReply::News(news::answer_peer(node, told)),
+        PeerCall::News(told) => PeerReply::News(load_gossip::answer_peer(node, told)),
         PeerCall::Drive { job } => PeerReply::Drives(adoption::drive_assigned(node, &job).await),
         PeerCall::End { job } => {
             let is_driven = node.drivers.lock().unwrap().contains_key(&job);
--- a/crates/trestlerackd/src/entry/plain.rs
+++ b/crates/trestlerackd/src/entry/plain.rs
@@ -3,10 +3,10 @@
 use super::attempt::WholeAnswer;
 use super::front::{ClientRequest, ReplyBody, full_reply};
 use super::held::AnswerBytes;
+use super::in_flight::ServerTicket;
 use super::node::EntryNode;
+use super::request_history::RequestTrail;
 use super::room::{self, RoomCall};
-use super::server_ticket::ServerTicket;
-use super::trail::RequestTrail;
 use super::{attempts, choice_log, engine_memory, shares, streams, suspects};
 use crate::process::clock;
 use http::{HeaderMap, Response, StatusCode};
--- a/crates/trestlerackd/src/entry/room/entrance.rs
+++ b/crates/trestlerackd/src/entry/room/entrance.rs
@@ -2,8 +2,8 @@
 
 use super::LOOK_INTERVAL;
 use super::wait::{refuse_unserved, wait_for_place};
+use crate::entry::in_flight::ServerTicket;
 use crate::entry::node::EntryNode;
-use crate::entry::server_ticket::ServerTicket;
 use crate::entry::shares;
 use crate::process::{clock, logs};
 use std::sync::Arc;
--- a/crates/trestlerackd/src/entry/score_calls.rs
+++ b/crates/trestlerackd/src/entry/score_calls.rs
@@ -1,10 +1,10 @@
 //! Calls to scoring services, which may be repeated.
 
 use super::attempt::{self, AttemptError};
+use super::in_flight::ServerTicket;
 use super::node::EntryNode;
 use super::room::{self, RoomCall};
-use super::server_answers::{self, AnswerWatch};
-use super::server_ticket::ServerTicket;
+use super::server_responses::{self, AnswerWatch};
 use super::{plain, second_attempts, shares, suspects, urgency};
 use crate::process::clock;
 use crate::process::logs;
@@ -202,7 +202,7 @@
     for (server, watch) in tried.iter().zip(starts).take_while(|(server, _)| *server != answered) {
         let is_compared = node.balancer.lock().unwrap().is_compared(server);
         if is_compared {
-            server_answers::cut(node, server, &route.name, *watch);
+            server_responses::cut(node, server, &route.name, *watch);
         } else {
             node.balancer.lock().unwrap().failed(now, server);
         }
@@ -239,7 +239,7 @@
         Ok(answer) if answer.status.is_success() => match answer.head.signature {
             Some(signature) => {
                 node.balancer.lock().unwrap().record_latency(&service, node.now().since(watch.started));
-                server_answers::took(node, &instance, &route.name, watch);
+                server_responses::took(node, &instance, &route.name, watch);
                 ScoreEnd::Scored(signature)
             }
             None => ScoreEnd::NoAnswer,
@@ -248,14 +248,14 @@
         // Its deadline passed, or something before it failed: no failure of the item.
         Ok(answer) => {
             node.balancer.lock().unwrap().failed(node.now(), &instance);
-            server_answers::failed(node, &instance);
+            server_responses::failed(node, &instance);
             log_score(call, &instance, &answer.status);
             ScoreEnd::NoAnswer
         }
         Err(AttemptError::Held(left)) => ScoreEnd::Held(left),
         Err(error) => {
             if !error.is_not_run() {
-                server_answers::failed(node, &instance);
+                server_responses::failed(node, &instance);
             }
             log_score(call, &instance, &error);
             ScoreEnd::NoAnswer
--- a/crates/trestlerackd/src/entry/server_answers.rs
+++ b/crates/trestlerackd/src/entry/server_responses.rs
@@ -1,6 +1,6 @@
 //! How backend servers answered, told to the board and, where it is news, to peers.
 
-use super::news::server_news;
+use super::load_gossip::observations;
 use super::node::EntryNode;
 use crate::process::clock;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 pub fn record_reported_slowness(node: &Arc<EntryNode>, server: &str, percent: u32) {
     let is_first = node.balancer.lock().unwrap().record_reported_slowness(node.now(), server, percent);
     if is_first {
-        tokio::spawn(server_news::ask_peer(node.clone()));
+        tokio::spawn(observations::ask_peer(node.clone()));
     }
 }
 
@@ -75,6 +75,6 @@
         balancer.has_observations()
     };
     if has_observations {
-        server_news::wake(node);
+        observations::wake(node);
     }
 }
--- a/crates/trestlerackd/src/entry/shares/mod.rs
+++ b/crates/trestlerackd/src/entry/shares/mod.rs
@@ -1,12 +1,12 @@
 //! Shares of customers, as this node applies them.
 //!
-//! Calls are counted and judged here ([`ask`]); [`super::news`] tells the node that adds up. Nothing
+//! Calls are counted and judged here ([`ask`]); [`super::load_gossip`] tells the node that adds up. Nothing
 //! is counted where the settings do not ask for it or the configuration names no customers. See
 //! [docs/design/room.md](../../../../../docs/design/room.md).
 
-mod desk;
+mod control;
 
-pub use desk::ShareDesk;
+pub use control::ShareDesk;
 
 use super::front::ClientRequest;
 use super::node::EntryNode;
--- a/crates/trestlerackd/src/entry/streams.rs
+++ b/crates/trestlerackd/src/entry/streams.rs
@@ -4,8 +4,8 @@
 use super::front::{BrokenReply, ClientRequest, ReplyBody};
 use super::node::EntryNode;
 use super::plain::{self, Shortfall};
-use super::trail::RequestTrail;
-use super::{server_end, suspects, urgency};
+use super::request_history::RequestTrail;
+use super::{crash_detection, suspects, urgency};
 use crate::process::clock;
 use bytes::Bytes;
 use futures_util::stream;
@@ -172,7 +172,7 @@
             };
             if why.is::<hyper::Error>() {
                 let id = self.request.id();
-                server_end::connection_broke(&self.node, &self.open.ticket, id).await;
+                crash_detection::connection_broke(&self.node, &self.open.ticket, id).await;
             }
             self.resume(why).await?;
         }
--- a/crates/trestlerackd/src/entry/suspects/gossip.rs
+++ b/crates/trestlerackd/src/entry/suspects/gossip.rs
@@ -1,6 +1,6 @@
 //! Strikes told from node to node, while the store does not serve one of them.
 
-use super::desk::MOST_TOLD;
+use super::control::MOST_TOLD;
 use super::{StrikeSource, join};
 use crate::entry::node::EntryNode;
 use crate::process::clock;
--- a/crates/trestlerackd/src/entry/suspects/mod.rs
+++ b/crates/trestlerackd/src/entry/suspects/mod.rs
@@ -5,18 +5,18 @@
 //! peers for their strikes and tells them its own; see
 //! [docs/PLATFORM.md](../../../../../docs/PLATFORM.md#requests-that-end-servers).
 
-mod desk;
+mod control;
 mod gossip;
 mod rows;
 mod trials;
 
-pub use desk::SuspectDesk;
+pub use control::SuspectDesk;
 pub use gossip::{answer_peer, ask_peers, tell_peers};
 pub use rows::{apply_row, read_at_start, store_strikes, sweep_rows};
 pub use trials::{ask_trial, grant_trial};
 
+use super::in_flight::ServerTicket;
 use super::node::EntryNode;
-use super::server_ticket::ServerTicket;
 use crate::process::{clock, logs};
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/trestlerackd/src/entry/suspects/rows.rs
+++ b/crates/trestlerackd/src/entry/suspects/rows.rs
@@ -1,6 +1,6 @@
 //! Strikes as rows of the system's own table, which every node watches.
 
-use super::desk::{RowChange, StrikeKey};
+use super::control::{RowChange, StrikeKey};
 use super::{StrikeSource, gossip, join};
 use crate::entry::node::EntryNode;
 use crate::entry::tables;
--- a/crates/trestlerackd/src/entry/suspects/trials.rs
+++ b/crates/trestlerackd/src/entry/suspects/trials.rs
@@ -5,8 +5,8 @@
 //! node knows.
 
 use super::SuspectState;
+use crate::entry::in_flight::ServerTicket;
 use crate::entry::node::EntryNode;
-use crate::entry::server_ticket::ServerTicket;
 use std::sync::Arc;
 use trestlerack::Name;
 use trestlerack::hash::{hash_parts, rendezvous_weight};
