--- a/crates/trestlerackd/src/entry/job_runs.rs
+++ b/crates/trestlerackd/src/entry/job_runs.rs
@@ -1,9 +1,9 @@
 //! Starts runs of a job's items on engines, both primary and speculative ones.
 
+use super::in_flight::ServerTicket;
 use super::item_run::{self, RunStart};
 use super::job_driver::{ItemRun, JobDriver};
 use super::node::EntryNode;
-use super::server_ticket::ServerTicket;
 use super::{choice_log, engine_memory, suspects, urgency};
 use crate::process::logs;
 use std::sync::Arc;
