--- a/crates/trestlerackd/src/entry/attempt.rs
+++ b/crates/trestlerackd/src/entry/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt of a request at one backend server.
 
-use super::in_flight::ServerTicket;
+use super::in_flight::InFlightGuard;
 use super::node::EntryNode;
 use super::pool::{ConnectionLease, ExchangeError};
 use super::{crash_detection, held, room, server_responses, suspects};
@@ -16,12 +16,12 @@
 use trestlerack::process::MemoryReservation;
 use trestlerack_platform::{self as platform, EngineRequest, ReplyHead};
 
-/// Longest answer that is read whole before it is passed on, in bytes.
-const MAX_ANSWER: usize = 32 * 1024 * 1024;
+/// Longest response that is buffered before it is forwarded, in bytes.
+const MAX_RESPONSE_BYTES: usize = 32 * 1024 * 1024;
 
-/// A whole answer of a backend server.
+/// A complete response of a backend server.
 #[derive(Debug)]
-pub struct WholeAnswer {
+pub struct CompleteResponse {
     /// Status.
     pub status: StatusCode,
     /// Headers.
@@ -30,12 +30,12 @@
     pub head: ReplyHead,
     /// Body.
     pub body: Bytes,
-    /// Count of the bytes of the body.
-    pub held: MemoryReservation,
+    /// Reservation of the memory of the body.
+    pub reservation: MemoryReservation,
 }
 
-/// The head of an answer whose body is still to come.
-pub struct OpenAnswer {
+/// The head of a response whose body has not been read yet.
+pub struct StreamingResponse {
     /// Status.
     pub status: StatusCode,
     /// Headers.
@@ -44,29 +44,29 @@
     pub head: ReplyHead,
     /// Body.
     pub body: Incoming,
-    /// Connection; dropping it cancels the work.
+    /// Connection; dropping it cancels the request at the server.
     pub lease: ConnectionLease,
-    /// Counts the request at its server.
-    pub ticket: ServerTicket,
-    /// Lasts as long as the answer is read.
+    /// Counts the request as in flight at its server.
+    pub guard: InFlightGuard,
+    /// Tracing span, which ends when the response has been read.
     pub span: Option<HopSpan>,
 }
 
-/// Why an attempt brought no answer.
+/// Why an attempt failed without a response.
 #[derive(Debug)]
 pub enum AttemptError {
     /// The server did not run the request.
     NotRun(String),
     /// The server may have run the request.
     MayHaveRun(String),
-    /// The request was not sent, and is not to be sent for so long: servers ended under what it asks for.
-    Held(Duration),
+    /// The request was not sent and is blocked for this time, because servers crashed while they ran its content.
+    Blocked(Duration),
 }
 
 impl AttemptError {
     /// Returns whether the server did not run the request.
     pub fn is_not_run(&self) -> bool {
-        matches!(self, Self::NotRun(_) | Self::Held(_))
+        matches!(self, Self::NotRun(_) | Self::Blocked(_))
     }
 }
 
@@ -75,28 +75,28 @@
         match self {
             Self::NotRun(detail) => write!(formatter, "not run: {detail}"),
             Self::MayHaveRun(detail) => write!(formatter, "may have run: {detail}"),
-            Self::Held(left) => write!(formatter, "not run: held for {} s", left.as_secs()),
+            Self::Blocked(left) => write!(formatter, "not run: blocked for {} s", left.as_secs()),
         }
     }
 }
 
-/// Sends a request and returns the head of its own answer, checked against the request's id.
-pub async fn open_answer(
+/// Sends a request and returns the head of the response, after checking that it belongs to the request's id.
+pub async fn open_response(
     node: &Arc<EntryNode>,
-    ticket: ServerTicket,
+    guard: InFlightGuard,
     mut request: EngineRequest<'_>,
     wants_fresh: bool,
-) -> Result<OpenAnswer, AttemptError> {
-    let instance = ticket.server.instance.clone();
+) -> Result<StreamingResponse, AttemptError> {
+    let instance = guard.server.instance.clone();
     let request_id = request.request_id.to_owned();
-    // Every request of a caller, of whatever kind, is sent from here, so none gets past this.
-    if let Some(left) = suspects::held_for(node, ticket.fingerprint) {
-        suspects::log_held(node, &request_id, ticket.fingerprint, left);
-        return Err(AttemptError::Held(left));
+    // All requests of callers, of whatever kind, are sent from here, so none bypasses this check.
+    if let Some(left) = suspects::blocked_for(node, guard.fingerprint) {
+        suspects::log_blocked(node, &request_id, guard.fingerprint, left);
+        return Err(AttemptError::Blocked(left));
     }
-    // Boxed, since few requests are suspected and each one in progress would hold room for the question.
-    if suspects::is_suspect(node, ticket.fingerprint) && !Box::pin(suspects::ask_trial(node, &ticket)).await {
-        return Err(AttemptError::NotRun("another suspect is tried at this server".into()));
+    // Boxed because few requests are suspects, and the future would enlarge each request in progress.
+    if suspects::is_suspect(node, guard.fingerprint) && !Box::pin(suspects::request_trial(node, &guard)).await {
+        return Err(AttemptError::NotRun("another suspect content has its trial at this server".into()));
     }
     let span = node.hop("attempt", SpanKind::Client, &mut request.headers);
     if let Some(span) = &span {
@@ -104,19 +104,19 @@
         span.set("server", instance.to_string());
     }
     let encoded = platform::encode_request(request).map_err(|error| AttemptError::NotRun(error.to_string()))?;
-    ticket.sent();
-    let sent = node.pool.send(&ticket.server.address, encoded, wants_fresh).await;
+    guard.record_sent();
+    let sent = node.pool.send(&guard.server.address, encoded, wants_fresh).await;
     let (response, lease) = match sent {
-        Ok(answer) => answer,
+        Ok(response) => response,
         Err(error) => {
             node.balancer.lock().unwrap().failed(node.now(), &instance);
             return Err(match error {
                 ExchangeError::NotSent(detail) => {
-                    ticket.settle();
+                    guard.record_outcome();
                     AttemptError::NotRun(detail)
                 }
-                ExchangeError::NoAnswer(detail) => {
-                    crash_detection::connection_broke(node, &ticket, &request_id).await;
+                ExchangeError::NoResponse(detail) => {
+                    crash_detection::check_broken_connection(node, &guard, &request_id).await;
                     AttemptError::MayHaveRun(detail)
                 }
             });
@@ -124,9 +124,9 @@
     };
     let (parts, body) = response.into_parts();
     let head = platform::decode_reply_head(&parts.headers);
-    let is_foreign = head.request_id.as_deref().is_some_and(|id| id != request_id);
-    if is_foreign {
-        return Err(AttemptError::MayHaveRun("an answer to another request came".into()));
+    let is_other_request = head.request_id.as_deref().is_some_and(|id| id != request_id);
+    if is_other_request {
+        return Err(AttemptError::MayHaveRun("the response belongs to another request".into()));
     }
     if let Some(load) = head.load {
         node.balancer.lock().unwrap().record_load(node.now(), &instance, load.running, load.waiting);
@@ -136,25 +136,27 @@
     }
     let is_other_server = parts.status == StatusCode::MISDIRECTED_REQUEST;
     if head.is_not_run || is_other_server {
-        ticket.settle();
+        guard.record_outcome();
         let is_gone = platform::names_instance(&parts.headers).is_some_and(|other| other != instance);
-        note_refusal(node, &instance, is_gone);
+        record_refusal(node, &instance, is_gone);
         if !is_gone {
-            room::note_full(node, &ticket.server.service);
+            room::note_full(node, &guard.server.service);
         }
-        keep_after_body(node, body, lease, &head).await;
+        keep_after_refusal(node, body, lease, &head).await;
         return Err(AttemptError::NotRun(format!("refused with {}", parts.status)));
     }
     if head.is_encoded {
-        return Err(AttemptError::MayHaveRun("the answer is encoded, so it is not the server's own body".into()));
+        return Err(AttemptError::MayHaveRun(
+            "the response has a content encoding, so its body is not the server's own".into(),
+        ));
     }
     if head.signature.is_none() || head.request_id.is_none() {
-        return Err(AttemptError::MayHaveRun(format!("the answer of status {} is not signed", parts.status)));
+        return Err(AttemptError::MayHaveRun(format!("the response of status {} is not signed", parts.status)));
     }
-    Ok(OpenAnswer { status: parts.status, headers: parts.headers, head, body, lease, ticket, span })
+    Ok(StreamingResponse { status: parts.status, headers: parts.headers, head, body, lease, guard, span })
 }
 
-fn note_refusal(node: &EntryNode, instance: &str, is_gone: bool) {
+fn record_refusal(node: &EntryNode, instance: &str, is_gone: bool) {
     let mut balancer = node.balancer.lock().unwrap();
     if is_gone {
         balancer.failed(node.now(), instance);
@@ -163,45 +165,45 @@
     }
 }
 
-/// Reads the short body of a refusal, so that its connection can be used again.
-async fn keep_after_body(node: &Arc<EntryNode>, body: Incoming, lease: ConnectionLease, head: &ReplyHead) {
-    const REFUSAL_BYTES: usize = 4 * 1024;
-    const REFUSAL_TIME: Duration = Duration::from_millis(50);
-    let read = clock::timeout(REFUSAL_TIME, Limited::new(body, REFUSAL_BYTES).collect()).await;
+/// Reads the short body of a refusal, so that the connection can be reused.
+async fn keep_after_refusal(node: &Arc<EntryNode>, body: Incoming, lease: ConnectionLease, head: &ReplyHead) {
+    const MAX_REFUSAL_BYTES: usize = 4 * 1024;
+    const REFUSAL_TIMEOUT: Duration = Duration::from_millis(50);
+    let read = clock::timeout(REFUSAL_TIMEOUT, Limited::new(body, MAX_REFUSAL_BYTES).collect()).await;
     if matches!(read, Ok(Ok(_))) && !head.is_closing {
         node.pool.keep(lease, head.idle_limit);
     }
 }
 
-/// Makes an attempt and reads the whole answer, within `limit`.
-pub async fn whole_answer(
+/// Sends a request and reads the complete response within `limit`.
+pub async fn fetch_response(
     node: &Arc<EntryNode>,
-    ticket: ServerTicket,
+    guard: InFlightGuard,
     request: EngineRequest<'_>,
     wants_fresh: bool,
     limit: Duration,
-) -> Result<WholeAnswer, AttemptError> {
-    let instance = ticket.server.instance.clone();
+) -> Result<CompleteResponse, AttemptError> {
+    let instance = guard.server.instance.clone();
     let request_id = request.request_id.to_owned();
     let exchange = async {
-        let open = open_answer(node, ticket, request, wants_fresh).await?;
-        let body = held::read_answer(node, &request_id, open.body, MAX_ANSWER).await;
-        let Some((body, held)) = body else {
+        let open = open_response(node, guard, request, wants_fresh).await?;
+        let body = held::read_answer(node, &request_id, open.body, MAX_RESPONSE_BYTES).await;
+        let Some((body, reservation)) = body else {
             node.balancer.lock().unwrap().failed(node.now(), &instance);
-            crash_detection::connection_broke(node, &open.ticket, &request_id).await;
-            return Err(AttemptError::MayHaveRun("the answer broke off".into()));
+            crash_detection::check_broken_connection(node, &open.guard, &request_id).await;
+            return Err(AttemptError::MayHaveRun("the connection broke during the response".into()));
         };
         node.balancer.lock().unwrap().succeeded(&instance);
-        suspects::answered(node, &open.ticket);
+        suspects::record_response(node, &open.guard);
         if !open.head.is_closing {
             node.pool.keep(open.lease, open.head.idle_limit);
         }
-        Ok(WholeAnswer { status: open.status, headers: open.headers, head: open.head, body, held })
+        Ok(CompleteResponse { status: open.status, headers: open.headers, head: open.head, body, reservation })
     };
     match clock::timeout(limit, exchange).await {
-        Ok(answer) => answer,
+        Ok(response) => response,
         Err(_) => {
-            // A server whose answer waits for room here is not to blame.
+            // A server whose response waits for memory at this node is not at fault.
             if !node.held.is_pressed() {
                 node.balancer.lock().unwrap().failed(node.now(), &instance);
             }
--- a/crates/trestlerackd/src/entry/attempts.rs
+++ b/crates/trestlerackd/src/entry/attempts.rs
@@ -1,15 +1,15 @@
-//! The attempts of a request whose answer is passed on whole.
+//! Attempts of a request whose response is buffered until it is complete.
 //!
-//! A request that may be repeated gets a second server beside the first where that still brings an answer
-//! in time; see [docs/design/uneven-load.md](../../../../docs/design/uneven-load.md#parts).
+//! A repeatable request is hedged: it gets a second server while the first one still works on it, if a response
+//! can still arrive in time; see [docs/design/uneven-load.md](../../../../docs/design/uneven-load.md#parts).
 
-use super::attempt::{self, AttemptError, WholeAnswer};
+use super::attempt::{self, AttemptError, CompleteResponse};
 use super::front::ClientRequest;
-use super::in_flight::ServerTicket;
+use super::in_flight::InFlightGuard;
 use super::node::EntryNode;
-use super::plain::{self, Shortfall};
-use super::request_history::RequestTrail;
-use super::server_responses::{self, AnswerWatch};
+use super::plain::{self, RequestFailure};
+use super::request_history::RequestHistory;
+use super::server_responses::{self, ResponseTimer};
 use super::{room, second_attempts, suspects, urgency};
 use crate::process::clock;
 use futures_util::StreamExt;
@@ -21,21 +21,21 @@
 use trestlerack::version::{RequestRoute, RouteKind};
 use trestlerack::{Name, Timestamp};
 
-/// Tries servers until one answers, the attempts are used up or the request may have run and must
-/// not run again.
-pub async fn attempt_all(
+/// Tries servers until one responds, the route's limit of attempts is reached, or the request may have run
+/// and must not run again.
+pub async fn try_servers(
     node: &Arc<EntryNode>,
     route: &RequestRoute,
     request: &ClientRequest,
     deadline: Timestamp,
-    trail: &mut RequestTrail,
-) -> Result<WholeAnswer, Shortfall> {
-    let call = PlainCall { node, route, request, deadline, fingerprint: request.fingerprint() };
-    if call.may_have_second() { call.attempt_beside(trail).await } else { call.attempt_in_turn(trail).await }
+    history: &mut RequestHistory,
+) -> Result<CompleteResponse, RequestFailure> {
+    let call = ProxiedCall { node, route, request, deadline, fingerprint: request.fingerprint() };
+    if call.may_hedge() { call.attempt_hedged(history).await } else { call.attempt_sequentially(history).await }
 }
 
-/// A request with what its attempts have in common.
-struct PlainCall<'a> {
+/// A request with the data that all its attempts share.
+struct ProxiedCall<'a> {
     node: &'a Arc<EntryNode>,
     route: &'a RequestRoute,
     request: &'a ClientRequest,
@@ -43,71 +43,71 @@
     fingerprint: RequestFingerprint,
 }
 
-/// A server that works on a call.
+/// An attempt whose server has not responded yet.
 #[derive(Clone)]
-struct OpenAttempt {
+struct PendingAttempt {
     server: Name,
-    watch: AnswerWatch,
-    /// Whether the server had been set aside.
-    is_trial: bool,
+    timer: ResponseTimer,
+    /// Whether the server was degraded, so that the attempt probes it.
+    is_probe: bool,
 }
 
-/// What became of a call that is tried at servers beside each other.
-struct BesideState {
-    /// Servers at work, in the order in which they were asked.
-    open: Vec<OpenAttempt>,
-    /// Whether a further server is to be asked.
+/// State of a request that is tried at several servers in parallel.
+struct HedgingState {
+    /// Attempts in flight, in the order in which they were started.
+    pending: Vec<PendingAttempt>,
+    /// Whether another server is wanted.
     wants_server: bool,
-    /// Whether the time of the early second attempt is over.
-    is_early_over: bool,
-    /// Whether those at work may never answer.
-    is_late: bool,
-    /// How it comes out if no server answers.
-    shortfall: Shortfall,
-    /// The last failure that a server stated itself.
-    last_answer: Option<WholeAnswer>,
+    /// Whether the time for a hedged attempt has passed, with or without one.
+    is_hedge_decided: bool,
+    /// Whether the attempts in flight are overdue, so that their servers may never respond.
+    is_overdue: bool,
+    /// Result of the request if no server responds.
+    failure: RequestFailure,
+    /// Last error response of a server.
+    last_error_response: Option<CompleteResponse>,
 }
 
-impl Default for BesideState {
+impl Default for HedgingState {
     fn default() -> Self {
         Self {
-            open: Vec::new(),
+            pending: Vec::new(),
             wants_server: true,
-            is_early_over: false,
-            is_late: false,
-            shortfall: Shortfall::NotRun,
-            last_answer: None,
+            is_hedge_decided: false,
+            is_overdue: false,
+            failure: RequestFailure::NotRun,
+            last_error_response: None,
         }
     }
 }
 
-impl BesideState {
-    fn hold(&mut self, left: Duration) {
-        self.hold_until(Some(left));
+impl HedgingState {
+    fn set_retry_after(&mut self, left: Duration) {
+        self.set_optional_retry_after(Some(left));
     }
 
-    /// Notes after which time the caller may return; `None` where that is not known.
-    fn hold_until(&mut self, return_after: Option<Duration>) {
-        let shortfall = std::mem::replace(&mut self.shortfall, Shortfall::NotRun);
-        self.shortfall = shortfall.or_returning(return_after);
+    /// Sets the time after which the caller may retry, if it is known.
+    fn set_optional_retry_after(&mut self, retry_after: Option<Duration>) {
+        let failure = std::mem::replace(&mut self.failure, RequestFailure::NotRun);
+        self.failure = failure.with_optional_retry_after(retry_after);
     }
 
-    fn may_have_run_alone(&self) -> bool {
-        self.open.is_empty() && matches!(self.shortfall, Shortfall::MayHaveRun)
+    fn may_have_run_without_response(&self) -> bool {
+        self.pending.is_empty() && matches!(self.failure, RequestFailure::MayHaveRun)
     }
 }
 
-/// How long the next server waits for the ones before it.
-enum NextServer {
-    /// Until this time, if the budget and the room allow one then.
-    Early(Timestamp),
-    /// Until this time; those before it may never answer.
-    Late(Timestamp),
-    /// There is none beside those that are at work.
+/// When to start the next attempt if no response arrives before.
+enum NextAttempt {
+    /// Hedge at this time, if the budget and the free slots allow it then.
+    Hedge(Timestamp),
+    /// The attempts in flight are overdue at this time, so their servers may never respond.
+    Overdue(Timestamp),
+    /// No further attempt is started while others are in flight.
     Never,
 }
 
-impl PlainCall<'_> {
+impl ProxiedCall<'_> {
     fn is_safe(&self) -> bool {
         self.route.kind == RouteKind::Safe
     }
@@ -116,251 +116,261 @@
         self.route.service_for(self.request.id())
     }
 
-    fn may_have_second(&self) -> bool {
+    fn may_hedge(&self) -> bool {
         let is_compared = |service: &Name| self.node.balancer.lock().unwrap().compares_servers(service);
         self.is_safe() && self.service().is_some_and(is_compared)
     }
 
-    /// Tries one server after the other.
-    async fn attempt_in_turn(&self, trail: &mut RequestTrail) -> Result<WholeAnswer, Shortfall> {
+    /// Tries one server after another.
+    async fn attempt_sequentially(&self, history: &mut RequestHistory) -> Result<CompleteResponse, RequestFailure> {
         let Self { node, route, request, deadline, fingerprint } = *self;
         let is_safe = self.is_safe();
-        let mut shortfall = Shortfall::NotRun;
-        let mut last_answer = None;
-        while trail.runs() < route.max_attempts {
-            if let Some(left) = plain::hold_back(node, request, fingerprint) {
-                shortfall = shortfall.or_held(left);
+        let mut failure = RequestFailure::NotRun;
+        let mut last_error_response = None;
+        while history.runs() < route.max_attempts {
+            if let Some(left) = plain::check_blocked(node, request, fingerprint) {
+                failure = failure.with_retry_after(left);
                 break;
             }
-            let ticket = match plain::find_server(node, route, request, fingerprint, deadline, trail).await {
-                Ok(ticket) => ticket,
-                Err(return_after) => {
-                    shortfall = shortfall.or_returning(return_after);
+            let guard = match plain::find_server(node, route, request, fingerprint, deadline, history).await {
+                Ok(guard) => guard,
+                Err(retry_after) => {
+                    failure = failure.with_optional_retry_after(retry_after);
                     break;
                 }
             };
-            let server = ticket.server.instance.clone();
+            let server = guard.server.instance.clone();
             let left = deadline.since(node.now());
-            let is_last = trail.runs() + 1 == route.max_attempts || !is_safe;
-            let limit = if is_last { left } else { left.min(plain::patience(node, route)) };
-            match self.attempt(ticket, limit).await.1 {
-                // A failure that the server states itself may pass at another one.
-                Ok(answer) if is_safe && answer.status.is_server_error() => {
-                    trail.add_run();
-                    last_answer = Some(answer);
+            let is_last = history.runs() + 1 == route.max_attempts || !is_safe;
+            let limit = if is_last { left } else { left.min(plain::overdue_threshold(node, route)) };
+            match self.attempt(guard, limit).await.1 {
+                // Another server may succeed where this one responded with an error.
+                Ok(response) if is_safe && response.status.is_server_error() => {
+                    history.record_run();
+                    last_error_response = Some(response);
                 }
-                Ok(answer) => return Ok(answer),
+                Ok(response) => return Ok(response),
                 Err(error) => {
-                    trail.attempt_failed(&server, &error);
+                    history.log_failed_attempt(&server, &error);
                     if error.is_not_run() {
-                        trail.did_not_run();
+                        history.record_not_run();
                         continue;
                     }
-                    trail.add_run();
-                    shortfall = Shortfall::MayHaveRun;
-                    // Each arrival of what ended several servers takes one more at most.
-                    if !is_safe || suspects::is_repeated(node, fingerprint) {
-                        return Err(shortfall);
+                    history.record_run();
+                    failure = RequestFailure::MayHaveRun;
+                    // A content that crashed several servers may crash one more per request at most.
+                    if !is_safe || suspects::has_repeated_crashes(node, fingerprint) {
+                        return Err(failure);
                     }
                 }
             }
         }
-        last_answer.ok_or(shortfall)
+        last_error_response.ok_or(failure)
     }
 
-    /// Tries servers beside each other: those before go on, and the first whole answer wins. The others'
-    /// connections are closed with it, which ends the work there.
-    async fn attempt_beside(&self, trail: &mut RequestTrail) -> Result<WholeAnswer, Shortfall> {
-        let Some(service) = self.service() else { return Err(Shortfall::NotRun) };
-        let mut at_work = FuturesUnordered::new();
-        let mut state = BesideState::default();
+    /// Tries servers in parallel. Earlier attempts go on, and the first complete response wins. The connections
+    /// of the other attempts are closed then, which cancels their work.
+    async fn attempt_hedged(&self, history: &mut RequestHistory) -> Result<CompleteResponse, RequestFailure> {
+        let Some(service) = self.service() else { return Err(RequestFailure::NotRun) };
+        let mut attempts = FuturesUnordered::new();
+        let mut state = HedgingState::default();
         loop {
-            if let Some(ticket) = self.next_ticket(&mut state, trail).await {
-                at_work.push(self.attempt(ticket, self.deadline.since(self.node.now())));
+            if let Some(guard) = self.next_guard(&mut state, history).await {
+                attempts.push(self.attempt(guard, self.deadline.since(self.node.now())));
             }
-            let next = self.next_server(trail, &state);
+            let next = self.next_attempt(history, &state);
             let ended = match next {
-                NextServer::Never => Ok(at_work.next().await),
-                NextServer::Early(at) | NextServer::Late(at) => {
-                    clock::timeout(at.since(self.node.now()), at_work.next()).await
+                NextAttempt::Never => Ok(attempts.next().await),
+                NextAttempt::Hedge(at) | NextAttempt::Overdue(at) => {
+                    clock::timeout(at.since(self.node.now()), attempts.next()).await
                 }
             };
             match ended {
                 Ok(Some((server, outcome))) => {
-                    if let Some(answer) = self.take_outcome(&mut state, trail, &server, outcome) {
-                        return Ok(answer);
+                    if let Some(response) = self.handle_outcome(&mut state, history, &server, outcome) {
+                        return Ok(response);
                     }
-                    // Each arrival of what ended several servers takes one more at most.
-                    if state.may_have_run_alone() && suspects::is_repeated(self.node, self.fingerprint) {
+                    // A content that crashed several servers may crash one more per request at most.
+                    if state.may_have_run_without_response()
+                        && suspects::has_repeated_crashes(self.node, self.fingerprint)
+                    {
                         break;
                     }
                 }
                 Ok(None) => break,
-                Err(_) => self.time_over(&mut state, &next, service),
+                Err(_) => self.handle_timeout(&mut state, &next, service),
             }
         }
-        state.last_answer.ok_or(state.shortfall)
+        state.last_error_response.ok_or(state.failure)
     }
 
-    /// Finds the next server if one is wanted and allowed, and notes it as at work.
-    async fn next_ticket(&self, state: &mut BesideState, trail: &mut RequestTrail) -> Option<ServerTicket> {
-        let is_wanted = std::mem::take(&mut state.wants_server) || state.open.is_empty();
-        if !is_wanted || self.is_used_up(trail, state) {
+    /// Finds the next server if one is wanted and allowed, and adds its attempt to the pending ones.
+    async fn next_guard(&self, state: &mut HedgingState, history: &mut RequestHistory) -> Option<InFlightGuard> {
+        let is_wanted = std::mem::take(&mut state.wants_server) || state.pending.is_empty();
+        if !is_wanted || self.is_limit_reached(history, state) {
             return None;
         }
-        if let Some(left) = plain::hold_back(self.node, self.request, self.fingerprint) {
-            state.hold(left);
+        if let Some(left) = plain::check_blocked(self.node, self.request, self.fingerprint) {
+            state.set_retry_after(left);
             return None;
         }
-        let ticket = match state.open.first() {
-            Some(before) => self.find_beside(trail, before, !state.is_late)?,
+        let guard = match state.pending.first() {
+            Some(previous) => self.find_hedge_server(history, previous, !state.is_overdue)?,
             None => {
                 let Self { node, route, request, deadline, fingerprint } = *self;
-                match plain::find_server(node, route, request, fingerprint, deadline, trail).await {
-                    Ok(ticket) => ticket,
-                    Err(return_after) => {
-                        state.hold_until(return_after);
+                match plain::find_server(node, route, request, fingerprint, deadline, history).await {
+                    Ok(guard) => guard,
+                    Err(retry_after) => {
+                        state.set_optional_retry_after(retry_after);
                         return None;
                     }
                 }
             }
         };
-        let server = ticket.server.instance.clone();
-        let is_trial = second_attempts::is_trial(self.node, &server);
-        state.open.push(OpenAttempt { server, watch: AnswerWatch::start(self.node), is_trial });
-        Some(ticket)
+        let server = guard.server.instance.clone();
+        let is_probe = second_attempts::is_trial(self.node, &server);
+        state.pending.push(PendingAttempt { server, timer: ResponseTimer::start(self.node), is_probe });
+        Some(guard)
     }
 
-    /// Returns whether as many servers may have run the request, or still may, as its route allows.
-    fn is_used_up(&self, trail: &RequestTrail, state: &BesideState) -> bool {
-        trail.runs() as usize + state.open.len() >= self.route.max_attempts as usize
+    /// Returns whether the number of servers that may have run the request, or still may, has reached the limit of
+    /// the route.
+    fn is_limit_reached(&self, history: &RequestHistory, state: &HedgingState) -> bool {
+        history.runs() as usize + state.pending.len() >= self.route.max_attempts as usize
     }
 
-    /// Decides whether another server is asked, now that those at work have taken long.
-    fn time_over(&self, state: &mut BesideState, next: &NextServer, service: &Name) {
-        self.note_outstanding(&state.open);
-        state.is_early_over = true;
-        if matches!(next, NextServer::Late(_)) {
-            self.pause_silent(&state.open);
-            state.is_late = true;
+    /// Decides whether another server is wanted after the time of [`NextAttempt`] has passed without a response.
+    fn handle_timeout(&self, state: &mut HedgingState, next: &NextAttempt, service: &Name) {
+        self.record_pending(&state.pending);
+        state.is_hedge_decided = true;
+        if matches!(next, NextAttempt::Overdue(_)) {
+            self.pause_unresponsive(&state.pending);
+            state.is_overdue = true;
             state.wants_server = true;
         } else {
             state.wants_server = second_attempts::has_place(self.node, service);
         }
     }
 
-    /// Takes note of how an attempt ended. Returns the answer if it is the call's.
-    fn take_outcome(
+    /// Records how an attempt ended. Returns its response if that is the response to the request.
+    fn handle_outcome(
         &self,
-        state: &mut BesideState,
-        trail: &mut RequestTrail,
+        state: &mut HedgingState,
+        history: &mut RequestHistory,
         server: &Name,
-        outcome: Result<WholeAnswer, AttemptError>,
-    ) -> Option<WholeAnswer> {
-        let ended = state.open.iter().position(|attempt| attempt.server == *server).map(|at| state.open.remove(at));
+        outcome: Result<CompleteResponse, AttemptError>,
+    ) -> Option<CompleteResponse> {
+        let ended =
+            state.pending.iter().position(|attempt| attempt.server == *server).map(|at| state.pending.remove(at));
         match outcome {
-            // A failure that the server states itself may pass at another one.
-            Ok(answer) if answer.status.is_server_error() => {
-                trail.add_run();
-                state.last_answer = Some(answer);
+            // Another server may succeed where this one responded with an error.
+            Ok(response) if response.status.is_server_error() => {
+                history.record_run();
+                state.last_error_response = Some(response);
             }
-            Ok(answer) => {
-                self.note_cut(&state.open, ended.map(|attempt| attempt.watch.started));
-                return Some(answer);
+            Ok(response) => {
+                self.record_cancelled(&state.pending, ended.map(|attempt| attempt.timer.started));
+                return Some(response);
             }
             Err(error) => {
-                trail.attempt_failed(server, &error);
+                history.log_failed_attempt(server, &error);
                 if !error.is_not_run() {
-                    trail.add_run();
-                    state.shortfall = Shortfall::MayHaveRun;
-                } else if state.open.is_empty() {
-                    trail.did_not_run();
+                    history.record_run();
+                    state.failure = RequestFailure::MayHaveRun;
+                } else if state.pending.is_empty() {
+                    history.record_not_run();
                 }
             }
         }
         None
     }
 
-    /// Finds a server beside those at work, which is wanted now or not at all. One that is asked early is paid
-    /// for; later on the first one may never answer.
-    fn find_beside(&self, trail: &mut RequestTrail, before: &OpenAttempt, is_early: bool) -> Option<ServerTicket> {
+    /// Finds a further server with a free slot; does not wait for one. A hedge is charged to the budget of second
+    /// attempts, unless the previous attempt is a probe. An attempt that is started because the previous one is
+    /// overdue is not, since that may never get a response.
+    fn find_hedge_server(
+        &self,
+        history: &mut RequestHistory,
+        previous: &PendingAttempt,
+        is_hedge: bool,
+    ) -> Option<InFlightGuard> {
         let Self { node, route, request, deadline, fingerprint } = *self;
-        let pick = |room| plain::pick_server(node, route, request, fingerprint, trail.tried(), room);
-        let ticket = pick(SlotNeed::One)?;
-        let call = plain::room_call(route, request, trail.started(), deadline)?;
-        if is_early && !before.is_trial && !room::may_try_again(node, &call, AttemptReason::Hedge) {
+        let pick = |slot_need| plain::pick_server(node, route, request, fingerprint, history.tried(), slot_need);
+        let guard = pick(SlotNeed::One)?;
+        let call = plain::service_call(route, request, history.started(), deadline)?;
+        if is_hedge && !previous.is_probe && !room::may_try_again(node, &call, AttemptReason::Hedge) {
             return None;
         }
-        trail.add(&ticket.server.instance);
-        let (id, waited) = (request.id(), node.now().since(before.watch.started));
-        second_attempts::log_asked(id, &ticket.server.instance, waited);
-        Some(ticket)
+        history.record_server(&guard.server.instance);
+        let (id, waited) = (request.id(), node.now().since(previous.timer.started));
+        second_attempts::log_asked(id, &guard.server.instance, waited);
+        Some(guard)
     }
 
-    fn next_server(&self, trail: &RequestTrail, state: &BesideState) -> NextServer {
+    fn next_attempt(&self, history: &RequestHistory, state: &HedgingState) -> NextAttempt {
         let Self { node, route, fingerprint, .. } = *self;
-        let Some(last) = state.open.last() else { return NextServer::Never };
-        // A second server under what ended one would be one more that ends.
-        if self.is_used_up(trail, state) || suspects::is_suspect(node, fingerprint) {
-            return NextServer::Never;
+        let Some(last) = state.pending.last() else { return NextAttempt::Never };
+        // A second server that gets a content under which one crashed could crash too.
+        if self.is_limit_reached(history, state) || suspects::is_suspect(node, fingerprint) {
+            return NextAttempt::Never;
         }
-        let late = last.watch.started + plain::patience(node, route);
-        if late <= node.now() {
-            return NextServer::Never;
+        let overdue_at = last.timer.started + plain::overdue_threshold(node, route);
+        if overdue_at <= node.now() {
+            return NextAttempt::Never;
         }
-        let early = self.service().and_then(|service| second_attempts::after(node, route, service));
-        match early.map(|early| last.watch.started + early) {
-            Some(early) if !state.is_early_over && early < late => NextServer::Early(early),
-            _ => NextServer::Late(late),
+        let hedge_delay = self.service().and_then(|service| second_attempts::after(node, route, service));
+        match hedge_delay.map(|delay| last.timer.started + delay) {
+            Some(hedge_at) if !state.is_hedge_decided && hedge_at < overdue_at => NextAttempt::Hedge(hedge_at),
+            _ => NextAttempt::Overdue(overdue_at),
         }
     }
 
-    /// Records that servers have not answered yet.
-    fn note_outstanding(&self, open: &[OpenAttempt]) {
-        for attempt in open {
-            server_responses::outstanding(self.node, &attempt.server, &self.route.name, attempt.watch);
+    /// Records that the servers of pending attempts have not responded yet.
+    fn record_pending(&self, pending: &[PendingAttempt]) {
+        for attempt in pending {
+            server_responses::record_pending(self.node, &attempt.server, &self.route.name, attempt.timer);
         }
     }
 
-    /// Records that servers lost against one that was asked later.
-    fn note_cut(&self, open: &[OpenAttempt], winner_started: Option<Timestamp>) {
+    /// Records which attempts are cancelled because a later one got its response first.
+    fn record_cancelled(&self, pending: &[PendingAttempt], winner_started: Option<Timestamp>) {
         let slower =
-            open.iter().filter(|attempt| winner_started.is_some_and(|started| attempt.watch.started < started));
+            pending.iter().filter(|attempt| winner_started.is_some_and(|started| attempt.timer.started < started));
         for attempt in slower {
-            server_responses::cut(self.node, &attempt.server, &self.route.name, attempt.watch);
+            server_responses::record_cancelled(self.node, &attempt.server, &self.route.name, attempt.timer);
         }
     }
 
-    /// Pauses servers that may never answer.
-    fn pause_silent(&self, open: &[OpenAttempt]) {
+    /// Pauses the servers of pending attempts, which may never respond.
+    fn pause_unresponsive(&self, pending: &[PendingAttempt]) {
         let now = self.node.now();
         let mut balancer = self.node.balancer.lock().unwrap();
-        open.iter().for_each(|attempt| {
+        pending.iter().for_each(|attempt| {
             balancer.failed(now, &attempt.server);
         });
     }
 
     /// Makes one attempt and records how it ended.
-    async fn attempt(&self, ticket: ServerTicket, limit: Duration) -> (Name, Result<WholeAnswer, AttemptError>) {
+    async fn attempt(&self, guard: InFlightGuard, limit: Duration) -> (Name, Result<CompleteResponse, AttemptError>) {
         let Self { node, route, request, deadline, .. } = *self;
-        let server = ticket.server.instance.clone();
-        let watch = AnswerWatch::start(node);
-        let left = deadline.since(watch.started);
+        let server = guard.server.instance.clone();
+        let timer = ResponseTimer::start(node);
+        let left = deadline.since(timer.started);
         let mut engine_request = plain::engine_request(request, &server, left);
-        engine_request.priority = urgency::of_request(node, route, &ticket.server.service, request, left, None);
-        let outcome = attempt::whole_answer(node, ticket, engine_request, !self.is_safe(), limit).await;
+        engine_request.priority = urgency::of_request(node, route, &guard.server.service, request, left, None);
+        let outcome = attempt::fetch_response(node, guard, engine_request, !self.is_safe(), limit).await;
         match &outcome {
-            Ok(answer) if answer.status.is_server_error() => server_responses::failed(node, &server),
+            Ok(response) if response.status.is_server_error() => server_responses::record_failure(node, &server),
             Ok(_) => {
-                let took = node.now().since(watch.started);
+                let took = node.now().since(timer.started);
                 node.route_times.lock().unwrap().record(&route.name, took);
-                plain::note_work(node, route, request, took);
-                server_responses::took(node, &server, &route.name, watch);
+                plain::record_latency(node, route, request, took);
+                server_responses::record_success(node, &server, &route.name, timer);
             }
             Err(error) if error.is_not_run() => {}
             Err(_) => {
-                server_responses::failed(node, &server);
-                server_responses::outstanding(node, &server, &route.name, watch);
+                server_responses::record_failure(node, &server);
+                server_responses::record_pending(node, &server, &route.name, timer);
             }
         }
         (server, outcome)
--- a/crates/trestlerackd/src/entry/callers.rs
+++ b/crates/trestlerackd/src/entry/callers.rs
@@ -1,4 +1,4 @@
-//! Tells for which customer a request is served, by the newest configuration that can be had.
+//! Identifies the customer of a request by the newest configuration that can be read.
 
 use super::feeds;
 use super::node::EntryNode;
@@ -8,20 +8,20 @@
 use std::time::Duration;
 use trestlerack::version::{CallerCredential, CallerIdentity, RefreshLimiter, RoutingTable};
 
-/// Time between two reads of the configuration for keys that are not known. A thousand nodes under a
-/// storm of bad keys then make a thousand reads a second, half of what the smallest store takes.
+/// Minimum time between two reads of the configuration because of unknown keys. A thousand nodes that get many
+/// bad keys then make a thousand reads a second, half of what the smallest store can serve.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Longest time that a caller with a key that is not known waits for that read, a store that does not
-/// answer and one peer included.
+/// Longest time that a caller with an unknown key waits for that read, including the time for a store that does
+/// not respond and for one peer.
 const REFRESH_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Reads the configuration again for keys that are not known, for one caller at a time.
+/// Refreshes the configuration because of unknown keys. Only one caller at a time does so.
 #[derive(Debug)]
 pub struct KeyRefresh {
-    gate: std::sync::Mutex<RefreshLimiter>,
-    /// Held while a read is on its way, so that others wait for it.
-    flight: tokio::sync::Mutex<()>,
+    limiter: std::sync::Mutex<RefreshLimiter>,
+    /// Locked while a read is in progress, so that other callers wait for it.
+    in_flight: tokio::sync::Mutex<()>,
     /// Whether the last read succeeded.
     is_fresh: AtomicBool,
 }
@@ -29,56 +29,58 @@
 impl Default for KeyRefresh {
     fn default() -> Self {
         Self {
-            gate: std::sync::Mutex::new(RefreshLimiter::new(REFRESH_INTERVAL)),
-            flight: tokio::sync::Mutex::default(),
+            limiter: std::sync::Mutex::new(RefreshLimiter::new(REFRESH_INTERVAL)),
+            in_flight: tokio::sync::Mutex::default(),
             is_fresh: AtomicBool::new(false),
         }
     }
 }
 
-/// Who calls, or why that cannot be told.
-pub enum CallerAnswer {
-    /// Serve the request for this caller.
+/// Whether a request is served, and for which caller.
+pub enum CallerDecision {
+    /// The request is served for this caller.
     Serve(CallerIdentity),
-    /// No customer holds the key, as of a configuration that was just read.
+    /// No customer has the key according to a configuration that was just read.
     Denied,
-    /// The key may be newer than the configuration in force here, and the store does not answer.
-    Unsure,
+    /// The key may be newer than the configuration of this node, and the store does not respond.
+    Unverified,
 }
 
-/// Judges a caller by the configuration in force, and reads the configuration once more before it
-/// denies anybody.
+/// Identifies a caller by the configuration in force, and refreshes the configuration before it denies
+/// a caller.
 pub async fn identify(
     node: &Arc<EntryNode>,
     routing: &RoutingTable,
     is_public: bool,
     credential: &CallerCredential,
-) -> CallerAnswer {
-    let verdict = CallerIdentity::identify(routing.customers.as_ref(), is_public, credential);
-    if verdict != CallerIdentity::Unknown {
-        return CallerAnswer::Serve(verdict);
+) -> CallerDecision {
+    let identity = CallerIdentity::identify(routing.customers.as_ref(), is_public, credential);
+    if identity != CallerIdentity::Unknown {
+        return CallerDecision::Serve(identity);
     }
     let is_fresh = refresh(node).await;
     let newest = node.routing();
     let customers = newest.as_ref().and_then(|routing| routing.customers.as_ref());
     match CallerIdentity::identify(customers, is_public, credential) {
-        CallerIdentity::Unknown if is_fresh => CallerAnswer::Denied,
-        CallerIdentity::Unknown => CallerAnswer::Unsure,
-        verdict => CallerAnswer::Serve(verdict),
+        CallerIdentity::Unknown if is_fresh => CallerDecision::Denied,
+        CallerIdentity::Unknown => CallerDecision::Unverified,
+        identity => CallerDecision::Serve(identity),
     }
 }
 
-/// Reads the configuration if the last read is some time ago, or waits for the one on its way.
-/// Returns whether the last read succeeded. What this node does not know, a key or a route, may be newer
-/// than its configuration, and clients do not come back after they were told that it does not exist.
+/// Reads the configuration if the last read is at least `REFRESH_INTERVAL` ago, or waits for a read that is in
+/// progress. Returns whether the last read succeeded.
+///
+/// A key or a route that this node does not know may be newer than its configuration, and clients do not
+/// retry after a response that it does not exist.
 pub async fn refresh(node: &Arc<EntryNode>) -> bool {
     let refresh = &node.key_refresh;
-    let is_due = refresh.gate.lock().unwrap().try_start(node.now());
-    let flight = refresh.flight.lock().await;
+    let is_due = refresh.limiter.lock().unwrap().try_start(node.now());
+    let in_flight = refresh.in_flight.lock().await;
     if is_due {
         let read = clock::timeout(REFRESH_TIMEOUT, feeds::read_configuration(node)).await;
         refresh.is_fresh.store(matches!(read, Ok(Ok(()))), Ordering::Relaxed);
     }
-    drop(flight);
+    drop(in_flight);
     refresh.is_fresh.load(Ordering::Relaxed)
 }
--- a/crates/trestlerackd/src/entry/client_links.rs
+++ b/crates/trestlerackd/src/entry/client_links.rs
@@ -60,7 +60,7 @@
 }
 
 async fn serve_client(node: Arc<EntryNode>, seat: LinkSeat, stream: TcpStream, service: LinkService) {
-    super::pool::prepare(&stream);
+    super::pool::set_socket_options(&stream);
     node.client_connections.fetch_add(1, Ordering::Relaxed);
     let idle = match service {
         LinkService::Serve => {
--- a/crates/trestlerackd/src/entry/duties/calls.rs
+++ b/crates/trestlerackd/src/entry/duties/calls.rs
@@ -69,7 +69,7 @@
 async fn exchange(node: &Arc<EntryNode>, request: Request<Bytes>) -> DutyAnswer {
     let (response, lease) = match node.pool.send(&node.settings.duty_service, request, false).await {
         Ok(answer) => answer,
-        Err(ExchangeError::NotSent(_) | ExchangeError::NoAnswer(_)) => return DutyAnswer::Unknown,
+        Err(ExchangeError::NotSent(_) | ExchangeError::NoResponse(_)) => return DutyAnswer::Unknown,
     };
     let (parts, body) = response.into_parts();
     let head = platform::decode_reply_head(&parts.headers);
--- a/crates/trestlerackd/src/entry/duties/usage_report.rs
+++ b/crates/trestlerackd/src/entry/duties/usage_report.rs
@@ -212,7 +212,7 @@
     let fields: [(&str, &dyn std::fmt::Display); 3] =
         [("window", &desk.next), ("windows", &missed), ("why", &"nobody could report them in time")];
     logs::write(event::USAGE_MISSED, &fields);
-    node.metrics.usage_missed(missed);
+    node.metrics.record_missed_usage(missed);
     desk.next = first_kept;
 }
 
@@ -244,7 +244,7 @@
         // The same report would be refused again, and later windows must not wait for it.
         DutyAnswer::Refused | DutyAnswer::NoneLeft => {
             desk.unsent.remove(&window);
-            node.metrics.usage_missed(1);
+            node.metrics.record_missed_usage(1);
         }
         DutyAnswer::RateLimited | DutyAnswer::Unknown => desk.retry_at = node.now() + RETRY_PAUSE,
     }
--- a/crates/trestlerackd/src/entry/engine_calls.rs
+++ b/crates/trestlerackd/src/entry/engine_calls.rs
@@ -1,4 +1,4 @@
-//! What the holder of the order lease asks of engines: to load a version, and to report.
+//! Calls of the holder of the order lease to engines: orders to load a version, and polls for reports.
 
 use super::node::EntryNode;
 use super::pool::ExchangeError;
@@ -13,11 +13,11 @@
 use trestlerack::version::{DueOrder, OrderOutcome};
 use trestlerack_platform::{self as platform, EngineReport, WeightOrder};
 
-/// Time that an order or a report may take.
+/// Time limit of an order or a poll.
 pub const ORDER_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Longest answer of an engine to an order or to the question for its report, in bytes.
-const MAX_ANSWER: usize = 256 * 1024;
+/// Longest response of an engine to an order or a poll, in bytes.
+const MAX_RESPONSE_BYTES: usize = 256 * 1024;
 
 /// Orders an engine to load a version, on condition that it accepted `orders_before` orders.
 pub async fn send_order(
@@ -28,7 +28,7 @@
     orders_before: u64,
     waits_for_runs: bool,
 ) -> OrderOutcome {
-    let wire = WeightOrder {
+    let weight_order = WeightOrder {
         instance: order.instance.clone(),
         model: order.model.clone(),
         version: order.version,
@@ -37,22 +37,22 @@
         fence,
         orders_before,
     };
-    let Ok(request) = platform::encode_order(&wire) else { return OrderOutcome::NotSent };
-    match ask_engine(node, entry, request).await {
+    let Ok(request) = platform::encode_order(&weight_order) else { return OrderOutcome::NotSent };
+    match call_engine(node, entry, request).await {
         Ok((StatusCode::ACCEPTED, _)) => OrderOutcome::Accepted,
         Ok((StatusCode::OK, _)) => OrderOutcome::AlreadyLoaded,
         Ok((status, _)) if status.is_client_error() => OrderOutcome::Refused,
         Ok(_) => OrderOutcome::Unknown,
         Err(ExchangeError::NotSent(_)) => OrderOutcome::NotSent,
-        Err(ExchangeError::NoAnswer(_)) => OrderOutcome::Unknown,
+        Err(ExchangeError::NoResponse(_)) => OrderOutcome::Unknown,
     }
 }
 
-/// Asks an engine for its report; `None` if it does not answer.
-pub async fn ask_report(node: &Arc<EntryNode>, entry: &ServerEntry) -> Option<EngineReport> {
+/// Polls an engine for its report; `None` if it does not respond.
+pub async fn poll_engine(node: &Arc<EntryNode>, entry: &ServerEntry) -> Option<EngineReport> {
     let request = platform::encode_report_request(&entry.instance).ok()?;
-    let answer = ask_engine(node, entry, request).await;
-    let report = match &answer {
+    let response = call_engine(node, entry, request).await;
+    let report = match &response {
         Ok((StatusCode::OK, body)) => platform::decode_report(body).ok(),
         _ => None,
     };
@@ -63,7 +63,7 @@
     report
 }
 
-async fn ask_engine(
+async fn call_engine(
     node: &Arc<EntryNode>,
     entry: &ServerEntry,
     mut request: http::Request<bytes::Bytes>,
@@ -75,13 +75,13 @@
         let (response, lease) = node.pool.send(&entry.address, request, true).await?;
         let (parts, body) = response.into_parts();
         let head = platform::decode_reply_head(&parts.headers);
-        let body = Limited::new(body, MAX_ANSWER).collect().await;
-        let body = body.map_err(|error| ExchangeError::NoAnswer(error.to_string()))?.to_bytes();
+        let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
+        let body = body.map_err(|error| ExchangeError::NoResponse(error.to_string()))?.to_bytes();
         if !head.is_closing {
             node.pool.keep(lease, head.idle_limit);
         }
         Ok((parts.status, body))
     };
-    let lost = || ExchangeError::NoAnswer("no answer in time".into());
-    clock::timeout(ORDER_TIMEOUT, exchange).await.unwrap_or_else(|_| Err(lost()))
+    let no_response = || ExchangeError::NoResponse("no response in time".into());
+    clock::timeout(ORDER_TIMEOUT, exchange).await.unwrap_or_else(|_| Err(no_response()))
 }
--- a/crates/trestlerackd/src/entry/feed_relay.rs
+++ b/crates/trestlerackd/src/entry/feed_relay.rs
@@ -247,7 +247,7 @@
         }
         None => feeds::apply_rows(node, platform::SERVER_TABLE, servers),
     }
-    node.suspects.set_cut_off(is_out);
+    node.suspects.set_watch_down(is_out);
     let mut end_news = node.end_news.lock().unwrap();
     if is_out {
         end_news.record_failure();
--- a/crates/trestlerackd/src/entry/feeds.rs
+++ b/crates/trestlerackd/src/entry/feeds.rs
@@ -49,7 +49,7 @@
         match step {
             Ok(version) => {
                 if table == tables::STATE {
-                    node.suspects.set_cut_off(false);
+                    node.suspects.set_watch_down(false);
                     node.end_news.lock().unwrap().record_answer(asked_at);
                 }
                 node.registry.lock().unwrap().store_regained(node.now());
@@ -63,7 +63,7 @@
             }
             Err(error) => {
                 if table == tables::STATE {
-                    node.suspects.set_cut_off(true);
+                    node.suspects.set_watch_down(true);
                     node.end_news.lock().unwrap().record_failure();
                 }
                 node.levels.failed();
--- a/crates/trestlerackd/src/entry/front.rs
+++ b/crates/trestlerackd/src/entry/front.rs
@@ -1,6 +1,6 @@
 //! Serves clients: reads each request and hands it to what it is about.
 
-use super::callers::{self, CallerAnswer};
+use super::callers::{self, CallerDecision};
 use super::held::{self, BodyRefusal};
 use super::node::EntryNode;
 use super::{job_accept, job_calls, plain};
@@ -202,12 +202,12 @@
         _ => true,
     };
     match callers::identify(node, routing, is_public, credential).await {
-        CallerAnswer::Serve(verdict) => {
+        CallerDecision::Serve(verdict) => {
             request.caller = verdict;
             Ok(())
         }
-        CallerAnswer::Denied => Err(refuse(request, routing, "no customer holds the key", StatusCode::UNAUTHORIZED)),
-        CallerAnswer::Unsure => {
+        CallerDecision::Denied => Err(refuse(request, routing, "no customer holds the key", StatusCode::UNAUTHORIZED)),
+        CallerDecision::Unverified => {
             let why = "the key is not known and the store does not answer";
             log_refusal(request, routing, why);
             Err(platform::not_run_reply(request.head.request_id.as_ref(), UNSURE_RETURN).map(full_reply))
--- a/crates/trestlerackd/src/entry/in_flight.rs
+++ b/crates/trestlerackd/src/entry/in_flight.rs
@@ -1,4 +1,4 @@
-//! A request that a backend server works on, as this node counts it.
+//! Counts the requests of this node that are in flight at backend servers.
 
 use super::node::EntryNode;
 use super::room;
@@ -7,34 +7,42 @@
 use trestlerack::process::{ServerEntry, SuspectRun, TokenNeed};
 use trestlerack::request::RequestFingerprint;
 
-/// Counts a request that a backend server works on until it is dropped.
-pub struct ServerTicket {
+/// Counts a request as in flight at a backend server until the guard is dropped.
+pub struct InFlightGuard {
     node: Arc<EntryNode>,
-    /// The server.
+    /// Server that the request is in flight at.
     pub server: ServerEntry,
-    /// What the request asks for.
+    /// Fingerprint of the content of the request.
     pub fingerprint: RequestFingerprint,
-    /// The run, if that is suspected.
-    run: Option<SuspectRun>,
-    /// What it takes in the server's memory.
+    /// Run of the content, if it is suspected of crashing servers.
+    suspect_run: Option<SuspectRun>,
+    /// Tokens that the request occupies in the server's memory.
     tokens: Option<TokenNeed>,
-    /// Whether the request is on its way, with an outcome still to come.
-    is_open: AtomicBool,
-    /// Whether a suspect of another node may be beside it.
-    is_shared: AtomicBool,
+    /// Whether the request was sent and its outcome is not known yet.
+    is_outcome_pending: AtomicBool,
+    /// Whether the server may also run a suspect content of another node.
+    may_share_server: AtomicBool,
 }
 
-impl ServerTicket {
-    /// Counts a request in.
+impl InFlightGuard {
+    /// Counts a request as in flight at a server.
     pub fn new(node: &Arc<EntryNode>, server: ServerEntry, fingerprint: RequestFingerprint) -> Self {
         node.balancer.lock().unwrap().started(&server.instance);
-        let run = node.suspects.book().begin_run(node.now(), &server.instance, fingerprint);
-        let (is_open, is_shared) = (AtomicBool::new(false), AtomicBool::new(false));
-        Self { node: node.clone(), server, fingerprint, run, tokens: None, is_open, is_shared }
+        let suspect_run = node.suspects.tracker().begin_run(node.now(), &server.instance, fingerprint);
+        let (is_outcome_pending, may_share_server) = (AtomicBool::new(false), AtomicBool::new(false));
+        Self {
+            node: node.clone(),
+            server,
+            fingerprint,
+            suspect_run,
+            tokens: None,
+            is_outcome_pending,
+            may_share_server,
+        }
     }
 
-    /// Counts what the request takes in the server's memory too.
-    pub fn holding(mut self, tokens: Option<TokenNeed>) -> Self {
+    /// Also counts the tokens that the request occupies in the server's memory.
+    pub fn with_tokens(mut self, tokens: Option<TokenNeed>) -> Self {
         if let Some(tokens) = &tokens {
             self.node.balancer.lock().unwrap().memory.add_run(&self.server.instance, tokens);
         }
@@ -42,30 +50,32 @@
         self
     }
 
-    /// Records that the request is on its way to the server.
-    pub fn sent(&self) {
-        self.is_open.store(true, Ordering::Relaxed);
+    /// Records that the request is sent to the server.
+    pub fn record_sent(&self) {
+        self.is_outcome_pending.store(true, Ordering::Relaxed);
         room::note_attempt(&self.node, &self.server.service);
     }
 
-    /// Records that the outcome is known: an answer, a refusal or a broken connection.
-    pub fn settle(&self) {
-        self.is_open.store(false, Ordering::Relaxed);
+    /// Records that the outcome is known: a response, a refusal or a broken connection.
+    pub fn record_outcome(&self) {
+        self.is_outcome_pending.store(false, Ordering::Relaxed);
     }
 
-    /// Records that a suspect of another node may be beside the request.
-    pub fn share_trial(&self) {
-        self.is_shared.store(true, Ordering::Relaxed);
+    /// Records that the server may also run a suspect content of another node.
+    pub fn mark_shared(&self) {
+        self.may_share_server.store(true, Ordering::Relaxed);
     }
 
-    /// Returns whether the request is there as a known suspect, with no other suspect beside it.
+    /// Returns whether the request is the trial of a suspect content, with no other suspect at the server.
     pub fn is_trial(&self) -> bool {
-        !self.is_shared.load(Ordering::Relaxed)
-            && self.run.is_some_and(|run| self.node.suspects.book().is_trial(&self.server.instance, run))
+        !self.may_share_server.load(Ordering::Relaxed)
+            && self
+                .suspect_run
+                .is_some_and(|suspect_run| self.node.suspects.tracker().is_trial(&self.server.instance, suspect_run))
     }
 }
 
-impl Drop for ServerTicket {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         {
             let mut balancer = self.node.balancer.lock().unwrap();
@@ -74,14 +84,14 @@
                 balancer.memory.remove_run(&self.server.instance, tokens);
             }
         }
-        if self.is_open.load(Ordering::Relaxed) {
-            // Its client left or its time was over. Should its server end now, only service discovery
-            // tells.
+        if self.is_outcome_pending.load(Ordering::Relaxed) {
+            // The client disconnected or the request timed out. If the server crashes now, only service
+            // discovery reports it.
             let (now, is_trial) = (self.node.now(), self.is_trial());
-            self.node.suspects.book().record_unresolved(now, self.fingerprint, &self.server, is_trial);
+            self.node.suspects.tracker().record_unresolved(now, self.fingerprint, &self.server, is_trial);
         }
-        if let Some(run) = self.run {
-            self.node.suspects.book().end_run(&self.server.instance, run);
+        if let Some(suspect_run) = self.suspect_run {
+            self.node.suspects.tracker().end_run(&self.server.instance, suspect_run);
         }
         room::place_freed(&self.node, &self.server.service);
     }
--- a/crates/trestlerackd/src/entry/item_run.rs
+++ b/crates/trestlerackd/src/entry/item_run.rs
@@ -1,7 +1,7 @@
 //! One run of an item at one model engine.
 
-use super::attempt::{self, AttemptError, OpenAnswer};
-use super::in_flight::ServerTicket;
+use super::attempt::{self, AttemptError, StreamingResponse};
+use super::in_flight::InFlightGuard;
 use super::job_driver::JobDriver;
 use super::job_runs;
 use super::node::EntryNode;
@@ -46,13 +46,13 @@
 }
 
 /// Runs an item and tells its driver how that ended.
-pub async fn run(node: Arc<EntryNode>, driver: Arc<JobDriver>, start: RunStart, ticket: ServerTicket) {
+pub async fn run(node: Arc<EntryNode>, driver: Arc<JobDriver>, start: RunStart, guard: InFlightGuard) {
     let RunStart { index, lane, rank } = start;
-    let engine = ticket.server.instance.clone();
+    let engine = guard.server.instance.clone();
     let started = node.now();
     let mut trace = RunTrace { index, lane, rank, events: 0, longest_gap: Duration::ZERO };
-    let call_use = shares::count(&node, &ticket.server.service, driver.customer.as_ref());
-    let (end, why) = attempt_run(&node, &driver, &mut trace, ticket).await;
+    let call_usage = shares::count_call(&node, &guard.server.service, driver.customer.as_ref());
+    let (end, why) = attempt_run(&node, &driver, &mut trace, guard).await;
     let item = &driver.spec.items[index];
     let took = node.now().since(started);
     if end != RunEnd::Complete || took >= LONG_RUN {
@@ -70,9 +70,9 @@
         logs::write(event::RUN_ENDED, &fields);
     }
     if end == RunEnd::Complete {
-        call_use.served();
+        call_usage.record_served();
     }
-    node.metrics.run(end);
+    node.metrics.record_run(end);
     job_runs::run_ended(&node, &driver, index, lane, end);
 }
 
@@ -80,10 +80,10 @@
     node: &Arc<EntryNode>,
     driver: &Arc<JobDriver>,
     trace: &mut RunTrace,
-    ticket: ServerTicket,
+    guard: InFlightGuard,
 ) -> (RunEnd, String) {
     let item = &driver.spec.items[trace.index];
-    let instance = ticket.server.instance.clone();
+    let instance = guard.server.instance.clone();
     let (resume_after, exact_version) = match trace.lane {
         RunKind::Primary => {
             let ledger = driver.ledger.lock().unwrap();
@@ -109,8 +109,8 @@
         return (RunEnd::NotRun, "news of ended jobs is too old".into());
     }
     let limits =
-        RunTimeouts::for_event_gap(node.balancer.lock().unwrap().median_pace(node.now(), &ticket.server.service));
-    let opening = attempt::open_answer(node, ticket, request, false);
+        RunTimeouts::for_event_gap(node.balancer.lock().unwrap().median_pace(node.now(), &guard.server.service));
+    let opening = attempt::open_response(node, guard, request, false);
     let open = match clock::timeout(limits.response_head, opening).await {
         Ok(Ok(open)) => open,
         Ok(Err(AttemptError::MayHaveRun(detail))) => return (RunEnd::Broken, detail),
@@ -158,11 +158,11 @@
     node: &Arc<EntryNode>,
     driver: &Arc<JobDriver>,
     trace: &mut RunTrace,
-    open: OpenAnswer,
+    open: StreamingResponse,
     limits: RunTimeouts,
 ) -> (RunEnd, String) {
-    let OpenAnswer { mut body, lease, ticket, head, span: _span, .. } = open;
-    let instance = ticket.server.instance.clone();
+    let StreamingResponse { mut body, lease, guard, head, span: _span, .. } = open;
+    let instance = guard.server.instance.clone();
     let item = &driver.spec.items[trace.index];
     let model = driver.spec.model_of(item);
     let mut version = head.version;
@@ -174,7 +174,7 @@
             Ok(Some(Ok(frame))) => frame,
             Ok(Some(Err(error))) => {
                 node.balancer.lock().unwrap().failed(node.now(), &instance);
-                crash_detection::connection_broke(node, &ticket, &item.id).await;
+                crash_detection::check_broken_connection(node, &guard, &item.id).await;
                 return (RunEnd::Broken, error.to_string());
             }
             Ok(None) => break,
@@ -189,7 +189,7 @@
             Err(error) => return (RunEnd::Broken, error.to_string()),
         };
         let gap = note_pace(node, &instance, &mut pace, events.len());
-        note_preemption(node, driver, trace, &ticket.server.service, gap);
+        note_preemption(node, driver, trace, &guard.server.service, gap);
         trace.longest_gap = gap.max(trace.longest_gap);
         trace.events += events.len() as u64;
         for event in events {
@@ -207,7 +207,7 @@
         return (RunEnd::Broken, "the stream ended within an event".into());
     }
     node.balancer.lock().unwrap().succeeded(&instance);
-    suspects::answered(node, &ticket);
+    suspects::record_response(node, &guard);
     if !head.is_closing {
         node.pool.keep(lease, head.idle_limit);
     }
--- a/crates/trestlerackd/src/entry/job_accept.rs
+++ b/crates/trestlerackd/src/entry/job_accept.rs
@@ -64,7 +64,7 @@
         ("ms", &ms),
     ];
     logs::write(event::JOB_SUBMITTED, &fields);
-    node.metrics.request(&route.name, status, took);
+    node.metrics.record_request(&route.name, status, took);
     reply
 }
 
--- a/crates/trestlerackd/src/entry/job_records.rs
+++ b/crates/trestlerackd/src/entry/job_records.rs
@@ -47,7 +47,7 @@
         let mut ledger = driver.ledger.lock().unwrap();
         batch.iter().for_each(|result| ledger.mark_recorded(&result.id));
         drop(ledger);
-        node.metrics.results(batch.len());
+        node.metrics.record_results(batch.len());
         node.learn_head(head.clone(), version, &driver.spec.id);
         driver.wake.notify_one();
     }
--- a/crates/trestlerackd/src/entry/job_runs.rs
+++ b/crates/trestlerackd/src/entry/job_runs.rs
@@ -1,6 +1,6 @@
 //! Places the items of a job on engines and starts second runs.
 
-use super::in_flight::ServerTicket;
+use super::in_flight::InFlightGuard;
 use super::item_run::{self, RunStart};
 use super::job_driver::{ItemRun, JobDriver};
 use super::node::EntryNode;
@@ -129,9 +129,9 @@
         return false;
     }
     ledger.defer(index, node.now() + HELD_PAUSE.min(wait));
-    let Some(left) = suspects::held_for(node, fingerprint) else { return true };
+    let Some(left) = suspects::blocked_for(node, fingerprint) else { return true };
     if driver.held.lock().unwrap().insert(index) {
-        suspects::log_held(node, &driver.spec.items[index].id, fingerprint, left);
+        suspects::log_blocked(node, &driver.spec.items[index].id, fingerprint, left);
     }
     true
 }
@@ -143,9 +143,9 @@
     fingerprint: RequestFingerprint,
     need: &ServerNeed<'_>,
 ) -> (Option<ServerEntry>, bool) {
-    let is_apart = suspects::is_repeated(node, fingerprint);
+    let is_apart = suspects::has_repeated_crashes(node, fingerprint);
     let entry = if is_apart {
-        suspects::choose_apart(node, fingerprint, need)
+        suspects::choose_server(node, fingerprint, need)
     } else {
         node.balancer.lock().unwrap().choose(node.now(), need).map(|server| server.entry.clone())
     };
@@ -183,8 +183,8 @@
 fn spawn_run(node: &Arc<EntryNode>, driver: &Arc<JobDriver>, start: RunStart, engine: ServerEntry) {
     let RunStart { index, lane, .. } = start;
     log_start(node, driver, start, &engine);
-    let ticket = ServerTicket::new(node, engine, driver.fingerprints[index]).holding(driver.tokens[index]);
-    let run = tokio::spawn(item_run::run(node.clone(), driver.clone(), start, ticket));
+    let guard = InFlightGuard::new(node, engine, driver.fingerprints[index]).with_tokens(driver.tokens[index]);
+    let run = tokio::spawn(item_run::run(node.clone(), driver.clone(), start, guard));
     let run = ItemRun { handle: run.abort_handle(), started: node.now() };
     driver.runs.lock().unwrap().insert((index, lane), run);
 }
@@ -195,7 +195,7 @@
     let rank = start.rank.map_or_else(|| "none".to_owned(), |rank| rank.to_string());
     let about: [(&str, &dyn std::fmt::Display); 5] =
         [("lane", &lane), ("item", &item.id), ("job", &driver.spec.id), ("engine", &engine.instance), ("rank", &rank)];
-    choice_log::write_choice(node, event::RUN_STARTED, &about, engine, model.as_deref());
+    choice_log::log_choice(node, event::RUN_STARTED, &about, engine, model.as_deref());
 }
 
 /// Starts a second run of an item that may not be whole before its client ends the job: on the
--- a/crates/trestlerackd/src/entry/job_scores.rs
+++ b/crates/trestlerackd/src/entry/job_scores.rs
@@ -2,7 +2,7 @@
 
 use super::job_driver::JobDriver;
 use super::node::EntryNode;
-use super::score_calls::{self, ScoreEnd};
+use super::score_calls::{self, ScoreOutcome};
 use super::suspects;
 use crate::process::clock;
 use crate::process::logs;
@@ -62,20 +62,20 @@
             }
             let item = &driver.spec.items[index].id;
             match score_calls::score(&node, item, driver.customer.as_ref(), call).await {
-                ScoreEnd::Scored(signature) => {
+                ScoreOutcome::Scored(signature) => {
                     driver.ledger.lock().unwrap().record_score(index, Some(signature));
                     break;
                 }
-                ScoreEnd::Failed => {
+                ScoreOutcome::Failed => {
                     if driver.ledger.lock().unwrap().fail_score(index) {
                         logs::write(event::ITEM_GIVEN_UP, &[("item", item), ("why", &"its score call failed")]);
                         break;
                     }
                 }
-                ScoreEnd::Held(_) => break,
+                ScoreOutcome::Blocked(_) => break,
                 // Looked at again once it may be made.
-                ScoreEnd::NoAnswer if is_to_wait(&node, &driver, index) => break,
-                ScoreEnd::NoAnswer => clock::sleep(SCORE_PAUSE).await,
+                ScoreOutcome::NoResponse if is_to_wait(&node, &driver, index) => break,
+                ScoreOutcome::NoResponse => clock::sleep(SCORE_PAUSE).await,
             }
         },
     }
--- a/crates/trestlerackd/src/entry/load_gossip/mod.rs
+++ b/crates/trestlerackd/src/entry/load_gossip/mod.rs
@@ -1,12 +1,12 @@
-//! News of load between nodes: one message for use by customers, shares and servers.
+//! Gossip of load between nodes: one message carries the usage of customers, shares and server observations.
 //!
-//! Each kind of news has a module of its own that says what is to be told and takes over what was; this
-//! one only carries. See [docs/design/room.md](../../../../../docs/design/room.md).
+//! Each kind of content has a module that decides what to send and applies what was received. This module only
+//! exchanges the messages. See [docs/design/room.md](../../../../../docs/design/room.md).
 
 pub mod observations;
 mod shares;
 
-pub use shares::tell_adders;
+pub use shares::report_usage;
 
 use super::node::EntryNode;
 use futures_util::future::join_all;
@@ -14,27 +14,27 @@
 use trestlerack::Name;
 use trestlerack::process::LoadMessage;
 
-/// Takes over what a peer tells, and returns what it asked for.
-pub fn answer_peer(node: &Arc<EntryNode>, news: LoadMessage) -> LoadMessage {
-    let is_asking = news.is_empty();
-    shares::learn(node, news.shares);
-    let shares = shares::answer(node, &news.sender, &news.usage);
-    let servers = observations::answer(node, news.servers, is_asking);
+/// Applies the message of a peer, and returns the response.
+pub fn respond_to_peer(node: &Arc<EntryNode>, message: LoadMessage) -> LoadMessage {
+    let is_pull = message.is_empty();
+    shares::apply(node, message.shares);
+    let shares = shares::respond(node, &message.sender, &message.usage);
+    let servers = observations::respond(node, message.servers, is_pull);
     LoadMessage { sender: node.settings.name.clone(), shares, servers, ..LoadMessage::default() }
 }
 
-/// Tells peers, by their addresses, and takes over their answers. Returns how many answered. To tell
-/// some peers at once without waiting, spawn it.
-pub async fn tell(node: &Arc<EntryNode>, peers: &[Name], news: LoadMessage) -> usize {
-    let answers = join_all(peers.iter().map(|peer| exchange(node, peer, news.clone()))).await;
-    answers.into_iter().filter(|is_answered| *is_answered).count()
+/// Sends a message to peers, by their addresses, and applies their responses. Returns how many peers responded.
+/// Spawn it to send without waiting.
+pub async fn send(node: &Arc<EntryNode>, peers: &[Name], message: LoadMessage) -> usize {
+    let responses = join_all(peers.iter().map(|peer| exchange(node, peer, message.clone()))).await;
+    responses.into_iter().filter(|has_responded| *has_responded).count()
 }
 
-/// Tells a peer and takes over its answer. Returns whether it answered.
-async fn exchange(node: &Arc<EntryNode>, peer: &Name, news: LoadMessage) -> bool {
-    let news = LoadMessage { sender: node.settings.name.clone(), ..news };
-    let Some(answer) = node.peers.tell_news(peer, news).await else { return false };
-    shares::learn(node, answer.shares);
-    observations::learn(node, answer.servers);
+/// Sends a message to a peer and applies its response. Returns whether the peer responded.
+async fn exchange(node: &Arc<EntryNode>, peer: &Name, message: LoadMessage) -> bool {
+    let message = LoadMessage { sender: node.settings.name.clone(), ..message };
+    let Some(response) = node.peers.tell_news(peer, message).await else { return false };
+    shares::apply(node, response.shares);
+    observations::apply(node, response.servers);
     true
 }
--- a/crates/trestlerackd/src/entry/load_gossip/observations.rs
+++ b/crates/trestlerackd/src/entry/load_gossip/observations.rs
@@ -1,6 +1,6 @@
-//! What nodes tell each other of servers.
+//! Gossip of server observations between nodes.
 
-use super::{exchange, tell};
+use super::{exchange, send};
 use crate::entry::node::EntryNode;
 use crate::process::{clock, logs};
 use std::sync::Arc;
@@ -8,112 +8,112 @@
 use trestlerack::event;
 use trestlerack::process::{LoadMessage, ServerObservation, server_gossip_settings};
 
-/// Time in which notes are gathered before they are told, so that several share a message. Short beside
-/// the time that a caller waits for an answer.
-const GATHER_TIME: Duration = Duration::from_millis(20);
+/// Time for which observations are batched before they are sent, so that several share a message. It is short
+/// compared to the latency of a call.
+const BATCH_DELAY: Duration = Duration::from_millis(20);
 
-/// Pause before notes that are over the allowance are told.
-const LATER: Duration = Duration::from_millis(500);
+/// Delay before observations above the rate limit are sent.
+const RATE_LIMIT_DELAY: Duration = Duration::from_millis(500);
 
-/// Peers that are asked one after the other until one answers.
-const ASKED_PEERS: usize = 5;
+/// Most peers that are tried in a pull until one responds.
+const MAX_PULLED_PEERS: usize = 5;
 
-/// Pause before the next peer is asked.
-const ASK_PAUSE: Duration = Duration::from_millis(400);
+/// Delay before the next peer is tried.
+const PULL_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// Says that there may be something to tell.
+/// Wakes the sender, since there may be observations to send.
 pub fn wake(node: &EntryNode) {
     node.has_server_notes.notify_one();
 }
 
-/// Takes over what a peer tells, and returns what it may not know: a peer that tells nothing has just
-/// started and asks.
-pub fn answer(node: &Arc<EntryNode>, told: Vec<ServerObservation>, is_asking: bool) -> Vec<ServerObservation> {
-    if is_asking {
+/// Applies the observations of a peer. A peer that sends an empty message has just started and pulls, so it gets
+/// the observations that this node knows.
+pub fn respond(node: &Arc<EntryNode>, received: Vec<ServerObservation>, is_pull: bool) -> Vec<ServerObservation> {
+    if is_pull {
         let name = &node.settings.name;
         return node.balancer.lock().unwrap().known_observations(node.now(), name);
     }
-    learn(node, told);
+    apply(node, received);
     Vec::new()
 }
 
-/// Takes over what a peer tells, and passes on what is news.
-pub fn learn(node: &Arc<EntryNode>, told: Vec<ServerObservation>) {
-    let mut has_news = false;
-    for note in told {
-        let is_news = node.balancer.lock().unwrap().merge_observation(node.now(), &node.settings.name, &note);
-        if is_news {
-            log_told(&note);
-            has_news = true;
+/// Applies the observations of a peer, and forwards the new ones.
+pub fn apply(node: &Arc<EntryNode>, received: Vec<ServerObservation>) {
+    let mut has_new = false;
+    for observation in received {
+        let is_new = node.balancer.lock().unwrap().merge_observation(node.now(), &node.settings.name, &observation);
+        if is_new {
+            log_received(&observation);
+            has_new = true;
         }
     }
-    if has_news {
+    if has_new {
         wake(node);
     }
 }
 
-/// Tells peers of servers, until the process ends.
-pub async fn tell_peers(node: Arc<EntryNode>) {
+/// Sends server observations to peers, until the process ends.
+pub async fn send_to_peers(node: Arc<EntryNode>) {
     loop {
         node.has_server_notes.notified().await;
-        clock::sleep(GATHER_TIME).await;
-        while tell_some(&node).await {
-            clock::sleep(LATER).await;
+        clock::sleep(BATCH_DELAY).await;
+        while send_some(&node).await {
+            clock::sleep(RATE_LIMIT_DELAY).await;
         }
     }
 }
 
-/// Tells some peers what may be told now. Returns whether something is left.
-async fn tell_some(node: &Arc<EntryNode>) -> bool {
-    let (notes, is_left) = {
+/// Sends the observations that the rate limit allows to some peers. Returns whether more are left.
+async fn send_some(node: &Arc<EntryNode>) -> bool {
+    let (observations, has_more) = {
         let mut balancer = node.balancer.lock().unwrap();
         (balancer.take_observations(node.now(), &node.settings.name), balancer.has_observations())
     };
-    if notes.is_empty() {
-        return is_left;
+    if observations.is_empty() {
+        return has_more;
     }
-    let own = notes.iter().filter(|note| note.origin == node.settings.name);
-    own.for_each(|note| log_changed(node, note));
+    let own = observations.iter().filter(|observation| observation.origin == node.settings.name);
+    own.for_each(|observation| log_changed(node, observation));
     let chosen = server_gossip_settings().pick_push_peers(&node.peers.others(), &mut rand::rng());
-    let news = LoadMessage { servers: notes, ..LoadMessage::default() };
-    // A peer that does not answer hears of it from others.
-    tell(node, &chosen, news).await;
-    is_left
+    let message = LoadMessage { servers: observations, ..LoadMessage::default() };
+    // A peer that does not respond gets the observations from other peers.
+    send(node, &chosen, message).await;
+    has_more
 }
 
-/// Asks a peer for what it knows of servers: a node that has just started would else find out by its own
-/// callers.
-pub async fn ask_peer(node: Arc<EntryNode>) {
+/// Pulls the server observations of a peer. Without them a node that has just started would learn about slow
+/// servers only from its own calls.
+pub async fn pull_from_peer(node: Arc<EntryNode>) {
     let gossip = server_gossip_settings();
-    for _ in 0..ASKED_PEERS {
+    for _ in 0..MAX_PULLED_PEERS {
         let peer = gossip.pick_pull_peer(&node.peers.others(), &mut rand::rng());
         if let Some(peer) = peer
             && exchange(&node, &peer, LoadMessage::default()).await
         {
             return;
         }
-        clock::sleep(ASK_PAUSE).await;
+        clock::sleep(PULL_RETRY_DELAY).await;
     }
 }
 
-fn log_changed(node: &EntryNode, note: &ServerObservation) {
-    let standing = node.balancer.lock().unwrap().health(node.now(), &note.instance).as_str();
-    let slowness = format!("{:.2}", note.slowness);
-    let failing = format!("{:.2}", note.failure_rate);
+fn log_changed(node: &EntryNode, observation: &ServerObservation) {
+    let health = node.balancer.lock().unwrap().health(node.now(), &observation.instance).as_str();
+    let slowness = format!("{:.2}", observation.slowness);
+    let failure_rate = format!("{:.2}", observation.failure_rate);
     let fields: [(&str, &dyn std::fmt::Display); 4] =
-        [("server", &note.instance), ("standing", &standing), ("slowness", &slowness), ("failing", &failing)];
+        [("server", &observation.instance), ("standing", &health), ("slowness", &slowness), ("failing", &failure_rate)];
     logs::write(event::SERVER_JUDGED, &fields);
 }
 
-fn log_told(note: &ServerObservation) {
-    let slowness = format!("{:.2}", note.slowness);
-    let failing = format!("{:.2}", note.failure_rate);
+fn log_received(observation: &ServerObservation) {
+    let slowness = format!("{:.2}", observation.slowness);
+    let failure_rate = format!("{:.2}", observation.failure_rate);
     let fields: [(&str, &dyn std::fmt::Display); 5] = [
-        ("server", &note.instance),
-        ("origin", &note.origin),
+        ("server", &observation.instance),
+        ("origin", &observation.origin),
         ("slowness", &slowness),
-        ("failing", &failing),
-        ("age_ms", &note.age_ms),
+        ("failing", &failure_rate),
+        ("age_ms", &observation.age_ms),
     ];
     logs::write(event::SERVER_TOLD, &fields);
 }
--- a/crates/trestlerackd/src/entry/load_gossip/shares.rs
+++ b/crates/trestlerackd/src/entry/load_gossip/shares.rs
@@ -1,6 +1,6 @@
-//! What nodes tell of the use of customers, and the shares that are worked out of it.
+//! Gossip of the usage of customers, and of the shares that are computed from it.
 
-use super::tell;
+use super::send;
 use crate::entry::node::EntryNode;
 use crate::process::clock;
 use crate::process::logs;
@@ -11,94 +11,94 @@
 use trestlerack::process::{CustomerUsage, LoadMessage, ServiceShares};
 use trestlerack::{Name, event};
 
-/// Interval at which a short service without news is looked at, to log that it no longer is.
-const EASE_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval at which an overloaded service without updates is checked, to log when it no longer is overloaded.
+const RECHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Questions for one look at most: two in vain to the adder and one to the next.
-const MOST_QUESTIONS: u32 = 3;
+/// Most attempts to report usage in one round: two failed ones to the aggregator and one to the next.
+const MAX_REPORT_ATTEMPTS: u32 = 3;
 
-/// Adds up what customers took at the sender, and returns the shares of its services that are short.
-pub fn answer(node: &Arc<EntryNode>, sender: &Name, uses: &[CustomerUsage]) -> Vec<ServiceShares> {
+/// Aggregates the usage of customers at the sender, and returns the shares of its overloaded services.
+pub fn respond(node: &Arc<EntryNode>, sender: &Name, usage: &[CustomerUsage]) -> Vec<ServiceShares> {
     let now = node.now();
-    let shares = node.shares.add_up(now, sender, uses);
-    // A node that is asked because its senders cannot reach the right one knows of their use only, and
-    // keeps what comes of it to them.
+    let shares = node.shares.aggregate_usage(now, sender, usage);
+    // A node that gets reports only because their senders cannot reach the aggregator knows just the usage of
+    // these senders, so its shares are returned to them and not applied here.
     let is_own = |shares: &ServiceShares| {
-        let adder = node.shares.choose_adder(now, &shares.service, node.peers.names());
-        adder.as_ref() == Some(&node.settings.name)
+        let aggregator = node.shares.select_aggregator(now, &shares.service, node.peers.names());
+        aggregator.as_ref() == Some(&node.settings.name)
     };
-    learn(node, shares.iter().filter(|shares| is_own(shares)).cloned().collect());
+    apply(node, shares.iter().filter(|shares| is_own(shares)).cloned().collect());
     shares
 }
 
-/// Takes over shares that were worked out by a peer, and passes them on where that is due.
-pub fn learn(node: &Arc<EntryNode>, shares: Vec<ServiceShares>) {
+/// Applies shares that an aggregator computed, and forwards them to peers if they are new.
+pub fn apply(node: &Arc<EntryNode>, shares: Vec<ServiceShares>) {
     if shares.is_empty() {
         return;
     }
-    let shares = node.shares.learn(node.now(), shares);
+    let shares = node.shares.apply_shares(node.now(), shares);
     if shares.is_empty() {
         return;
     }
-    let peers = node.shares.gossip().pick_push_peers(&node.peers.others(), &mut rand::rng());
+    let peers = node.shares.gossip_settings().pick_push_peers(&node.peers.others(), &mut rand::rng());
     let node = node.clone();
-    tokio::spawn(async move { tell(&node, &peers, LoadMessage { shares, ..LoadMessage::default() }).await });
+    tokio::spawn(async move { send(&node, &peers, LoadMessage { shares, ..LoadMessage::default() }).await });
 }
 
-/// Tells the nodes that add up what is taken here of services that are short, until the process ends.
-pub async fn tell_adders(node: Arc<EntryNode>) {
-    let mut short = BTreeSet::new();
+/// Reports the usage of overloaded services to their aggregators, until the process ends.
+pub async fn report_usage(node: Arc<EntryNode>) {
+    let mut overloaded = BTreeSet::new();
     loop {
-        if short.is_empty() {
-            node.shares.wait_news().await;
+        if overloaded.is_empty() {
+            node.shares.wait_for_updates().await;
         } else {
-            // Ends with news or with the interval; both lead to a look.
-            let _ = clock::timeout(EASE_INTERVAL, node.shares.wait_news()).await;
+            // Ends with an update or after the interval; both lead to a check.
+            let _ = clock::timeout(RECHECK_INTERVAL, node.shares.wait_for_updates()).await;
         }
-        let services: BTreeSet<Name> = node.shares.short_services(node.now()).into_iter().collect();
-        log_changes(&short, &services);
-        join_all(services.iter().map(|service| tell_adder(&node, service))).await;
-        short = services;
+        let services: BTreeSet<Name> = node.shares.overloaded_services(node.now()).into_iter().collect();
+        log_changes(&overloaded, &services);
+        join_all(services.iter().map(|service| report_to_aggregator(&node, service))).await;
+        overloaded = services;
         clock::sleep(node.shares.period()).await;
     }
 }
 
-fn log_changes(before: &BTreeSet<Name>, now: &BTreeSet<Name>) {
-    now.difference(before).for_each(|service| logs::write(event::SERVICE_SHORT, &[("service", service)]));
-    before.difference(now).for_each(|service| logs::write(event::SERVICE_EASED, &[("service", service)]));
+fn log_changes(previous: &BTreeSet<Name>, current: &BTreeSet<Name>) {
+    current.difference(previous).for_each(|service| logs::write(event::SERVICE_SHORT, &[("service", service)]));
+    previous.difference(current).for_each(|service| logs::write(event::SERVICE_EASED, &[("service", service)]));
 }
 
-/// Tells the adder of a service, and the next one at once where it does not answer.
-async fn tell_adder(node: &Arc<EntryNode>, service: &Name) {
-    for _ in 0..MOST_QUESTIONS {
-        if try_tell(node, service).await {
+/// Reports usage to the aggregator of a service, or to the next one if it does not respond.
+async fn report_to_aggregator(node: &Arc<EntryNode>, service: &Name) {
+    for _ in 0..MAX_REPORT_ATTEMPTS {
+        if try_report(node, service).await {
             return;
         }
     }
 }
 
-/// Returns whether there is nothing left to tell.
-async fn try_tell(node: &Arc<EntryNode>, service: &Name) -> bool {
+/// Returns whether there is nothing left to report.
+async fn try_report(node: &Arc<EntryNode>, service: &Name) -> bool {
     let now = node.now();
-    let Some(adder) = node.shares.choose_adder(now, service, node.peers.names()) else { return true };
-    let uses = node.shares.untold(now, service, &adder);
-    if uses.is_empty() {
+    let Some(aggregator) = node.shares.select_aggregator(now, service, node.peers.names()) else { return true };
+    let usage = node.shares.unreported_usage(now, service, &aggregator);
+    if usage.is_empty() {
         return true;
     }
-    let is_told = if adder == node.settings.name {
-        answer(node, &adder, &uses);
+    let is_reported = if aggregator == node.settings.name {
+        respond(node, &aggregator, &usage);
         true
     } else {
-        let news = LoadMessage { usage: uses.clone(), ..LoadMessage::default() };
-        match node.peers.get(&adder) {
-            Some(row) => tell(node, &[row.address], news).await == 1,
+        let message = LoadMessage { usage: usage.clone(), ..LoadMessage::default() };
+        match node.peers.get(&aggregator) {
+            Some(row) => send(node, &[row.address], message).await == 1,
             None => false,
         }
     };
-    if is_told {
-        node.shares.told(node.now(), &adder, &uses);
+    if is_reported {
+        node.shares.acknowledge_usage(node.now(), &aggregator, &usage);
     } else {
-        node.shares.adder_missed(node.now(), service, &adder);
+        node.shares.record_aggregator_timeout(node.now(), service, &aggregator);
     }
-    is_told
+    is_reported
 }
--- a/crates/trestlerackd/src/entry/metrics.rs
+++ b/crates/trestlerackd/src/entry/metrics.rs
@@ -31,11 +31,11 @@
     runs: Counter<u64>,
     results: Counter<u64>,
     orders: Counter<u64>,
-    usage_missed: Counter<u64>,
-    held: Counter<u64>,
-    servers_ended: Counter<u64>,
+    missed_usage: Counter<u64>,
+    blocked_requests: Counter<u64>,
+    server_crashes: Counter<u64>,
     over_share: Counter<u64>,
-    /// Calls that want a place.
+    /// Metrics of admission control.
     pub room: RoomMetrics,
 }
 
@@ -52,9 +52,9 @@
             runs: meter.u64_counter("trestlerack.entry.runs").build(),
             results: meter.u64_counter("trestlerack.entry.results").build(),
             orders: meter.u64_counter("trestlerack.entry.orders").build(),
-            usage_missed: meter.u64_counter("trestlerack.entry.usage.missed").build(),
-            held: meter.u64_counter("trestlerack.entry.requests.held").build(),
-            servers_ended: meter.u64_counter("trestlerack.entry.servers.ended").build(),
+            missed_usage: meter.u64_counter("trestlerack.entry.usage.missed").build(),
+            blocked_requests: meter.u64_counter("trestlerack.entry.requests.held").build(),
+            server_crashes: meter.u64_counter("trestlerack.entry.servers.ended").build(),
             over_share: meter.u64_counter("trestlerack.entry.requests.over.share").build(),
             room: RoomMetrics::start(&meter),
             registry,
@@ -63,50 +63,50 @@
     }
 
     /// Counts a client's request by route and status.
-    pub fn request(&self, route: &str, status: StatusCode, took: Duration) {
+    pub fn record_request(&self, route: &str, status: StatusCode, took: Duration) {
         let route = KeyValue::new("route", route.to_owned());
         self.latency.record(took.as_secs_f64() * 1_000.0, std::slice::from_ref(&route));
         self.requests.add(1, &[route, KeyValue::new("status", i64::from(status.as_u16()))]);
     }
 
-    /// Counts a run of an item by how it ended.
-    pub fn run(&self, end: RunEnd) {
+    /// Counts a run of an item by its end.
+    pub fn record_run(&self, end: RunEnd) {
         self.runs.add(1, &[KeyValue::new("end", end.as_str())]);
     }
 
     /// Counts recorded results.
-    pub fn results(&self, count: usize) {
+    pub fn record_results(&self, count: usize) {
         self.results.add(count as u64, &[]);
     }
 
     /// Counts an order by its outcome.
-    pub fn order(&self, outcome: OrderOutcome) {
+    pub fn record_order(&self, outcome: OrderOutcome) {
         self.orders.add(1, &[KeyValue::new("outcome", outcome.as_str())]);
     }
 
-    /// Counts windows of usage that were not reported.
-    pub fn usage_missed(&self, windows: u64) {
-        self.usage_missed.add(windows, &[]);
+    /// Counts usage windows that were not reported.
+    pub fn record_missed_usage(&self, windows: u64) {
+        self.missed_usage.add(windows, &[]);
     }
 
-    /// Counts a request that was not sent because servers ended under what it asks for.
-    pub fn held(&self) {
-        self.held.add(1, &[]);
+    /// Counts a request that was not sent because its content is blocked after server crashes.
+    pub fn record_blocked_request(&self) {
+        self.blocked_requests.add(1, &[]);
     }
 
-    /// Counts a server that ended as it worked on a request of this node.
-    pub fn server_ended(&self) {
-        self.servers_ended.add(1, &[]);
+    /// Counts a server that crashed while it ran a request of this node.
+    pub fn record_server_crash(&self) {
+        self.server_crashes.add(1, &[]);
     }
 
     /// Counts a request that was refused because its customer is over its share of a service.
-    pub fn over_share(&self, service: &str) {
+    pub fn record_over_share(&self, service: &str) {
         self.over_share.add(1, &[KeyValue::new("service", service.to_owned())]);
     }
 
-    fn page(&self) -> Vec<u8> {
+    fn render(&self) -> Vec<u8> {
         let mut page = Vec::new();
-        // Text of numbers cannot fail to encode; an empty page would show if it did.
+        // Encoding numbers as text cannot fail; an empty page would show it.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut page);
         page
     }
@@ -118,36 +118,36 @@
         let Ok((stream, _)) = listener.accept().await else { continue };
         let node = node.clone();
         tokio::spawn(async move {
-            let service = hyper::service::service_fn(move |request: Request<Incoming>| {
-                let page = status::answer(&node, request.uri().path()).unwrap_or_else(|| metrics_page(&node));
-                async move { Ok::<_, Infallible>(Response::new(Full::new(bytes::Bytes::from(page)))) }
+            let service = hyper::service::service_fn(move |record_request: Request<Incoming>| {
+                let render = status::respond(&node, record_request.uri().path()).unwrap_or_else(|| metrics_page(&node));
+                async move { Ok::<_, Infallible>(Response::new(Full::new(bytes::Bytes::from(render)))) }
             });
-            // A reader that breaks its connection asks again.
+            // A client whose connection breaks sends its request again.
             let _ = hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
         });
     }
 }
 
 fn metrics_page(node: &EntryNode) -> Vec<u8> {
-    let mut page = node.metrics.page();
+    let mut page = node.metrics.render();
     page.extend_from_slice(engine_memory::metrics_lines(node).as_bytes());
     server_gauges(node, &mut page);
-    let mut lines = format!("trestlerack_entry_connections_opened {}\n", node.pool.opened());
+    let mut lines = format!("trestlerack_entry_connections_opened {}\n", node.pool.opened_count());
     held::write_metrics(&node.held, &mut lines);
     page.extend_from_slice(lines.as_bytes());
     page
 }
 
-/// Adds the gauges of the servers that are compared with their peers.
+/// Adds the gauges of the servers whose latency is compared with that of other servers.
 fn server_gauges(node: &EntryNode, page: &mut Vec<u8>) {
     let lines = node.balancer.lock().unwrap().server_statuses(node.now());
-    for ServerStatus { instance, service, health: standing, expected_slowness: expected, sent, .. } in lines {
+    for ServerStatus { instance, service, health, expected_slowness: expected, sent, .. } in lines {
         let labels = format!("{{server=\"{instance}\",service=\"{service}\"}}");
-        let is_aside = u8::from(standing != ServerHealth::Healthy);
+        let is_degraded = u8::from(health != ServerHealth::Healthy);
         let gauges = format!(
             "trestlerack_entry_server_expected{labels} {expected:.3}\n\
              trestlerack_entry_server_sent{labels} {sent}\n\
-             trestlerack_entry_server_aside{labels} {is_aside}\n"
+             trestlerack_entry_server_aside{labels} {is_degraded}\n"
         );
         page.extend_from_slice(gauges.as_bytes());
     }
--- a/crates/trestlerackd/src/entry/mod.rs
+++ b/crates/trestlerackd/src/entry/mod.rs
@@ -105,11 +105,11 @@
     tokio::spawn(expire_connections(node.clone()));
     tokio::spawn(retention::sweep(node.clone()));
     tokio::spawn(suspects::read_at_start(node.clone()));
-    tokio::spawn(suspects::store_strikes(node.clone()));
-    tokio::spawn(suspects::tell_peers(node.clone()));
-    tokio::spawn(suspects::ask_peers(node.clone()));
-    tokio::spawn(load_gossip::observations::tell_peers(node.clone()));
-    tokio::spawn(load_gossip::tell_adders(node.clone()));
+    tokio::spawn(suspects::store_reports(node.clone()));
+    tokio::spawn(suspects::send_to_peers(node.clone()));
+    tokio::spawn(suspects::pull_from_peers(node.clone()));
+    tokio::spawn(load_gossip::observations::send_to_peers(node.clone()));
+    tokio::spawn(load_gossip::report_usage(node.clone()));
     tokio::spawn(reload(node.clone(), hangup, settings_file));
     tokio::select! {
         _ = terminate.recv() => {}
@@ -126,7 +126,7 @@
 async fn note_suspensions(node: Arc<EntryNode>) {
     let resumed = |suspended: Duration| {
         logs::write_suspension(suspended);
-        node.suspects.set_cut_off(true);
+        node.suspects.set_watch_down(true);
     };
     clock::watch_suspensions(resumed).await;
 }
--- a/crates/trestlerackd/src/entry/node.rs
+++ b/crates/trestlerackd/src/entry/node.rs
@@ -10,9 +10,9 @@
 use super::peers::PeerClient;
 use super::pool::ConnectionPool;
 use super::room::RoomDesk;
-use super::shares::ShareDesk;
+use super::shares::ShareControl;
 use super::store::{DirectStore, RelayedStore};
-use super::suspects::SuspectDesk;
+use super::suspects::SuspectControl;
 use super::weight_book::WeightBook;
 use crate::process::clock::SystemClock;
 use crate::process::tracing::{HopSpan, HopTracer, TRACE_HEADER};
@@ -98,9 +98,9 @@
     /// Calls that wait for a place of a service.
     pub room: RoomDesk,
     /// Requests under which servers ended.
-    pub suspects: SuspectDesk,
+    pub suspects: SuspectControl,
     /// Shares of customers in services that are short.
-    pub shares: ShareDesk,
+    pub shares: ShareControl,
     /// Whether service discovery was read once.
     pub has_registry: AtomicBool,
     /// Whether the system's own rows were read once.
@@ -168,8 +168,8 @@
             route_times: Mutex::default(),
             has_server_notes: Notify::new(),
             room: RoomDesk::new(),
-            suspects: SuspectDesk::new(&settings),
-            shares: ShareDesk::new(now, settings.name.clone()),
+            suspects: SuspectControl::new(&settings),
+            shares: ShareControl::new(now, settings.name.clone()),
             has_registry: AtomicBool::new(false),
             has_state: AtomicBool::new(false),
             is_registered: AtomicBool::new(false),
@@ -233,7 +233,7 @@
 
     /// Returns whether clients may be sent here.
     pub fn is_ready(&self) -> bool {
-        let knows_servers = self.has_registry.load(Ordering::Relaxed) && self.suspects.has_looked();
+        let knows_servers = self.has_registry.load(Ordering::Relaxed) && self.suspects.has_read_reports();
         !self.is_stopping() && self.routing().is_some() && knows_servers
     }
 
--- a/crates/trestlerackd/src/entry/peers.rs
+++ b/crates/trestlerackd/src/entry/peers.rs
@@ -313,7 +313,7 @@
 }
 
 async fn serve_peer(node: Arc<EntryNode>, _seat: ConnectionPermit, stream: TcpStream) {
-    super::pool::prepare(&stream);
+    super::pool::set_socket_options(&stream);
     let service = hyper::service::service_fn(move |request: Request<Incoming>| {
         let node = node.clone();
         async move {
@@ -356,10 +356,10 @@
             node.usage.take(&sender, notes);
             PeerReply::Noted
         }
-        PeerCall::Strikes { notes } => PeerReply::Strikes(suspects::answer_peer(node, &notes)),
+        PeerCall::Strikes { notes } => PeerReply::Strikes(suspects::respond_to_peer(node, &notes)),
         PeerCall::Feed(call) => PeerReply::Feed(feed_relay::answer(node, call).await),
         PeerCall::Trial { server, fingerprint } => PeerReply::Trial(suspects::grant_trial(node, &server, fingerprint)),
-        PeerCall::News(told) => PeerReply::News(load_gossip::answer_peer(node, told)),
+        PeerCall::News(told) => PeerReply::News(load_gossip::respond_to_peer(node, told)),
         PeerCall::Drive { job } => PeerReply::Drives(adoption::drive_assigned(node, &job).await),
         PeerCall::End { job } => {
             let is_driven = node.drivers.lock().unwrap().contains_key(&job);
--- a/crates/trestlerackd/src/entry/pool.rs
+++ b/crates/trestlerackd/src/entry/pool.rs
@@ -1,8 +1,8 @@
 //! Connections to backend servers, the store and peers.
 //!
-//! One exchange at a time uses a connection. A connection goes back to the pool only after a whole
-//! answer to the exchange's own request; in any other case it is closed at once, which is also
-//! what cancels the work of a backend server.
+//! A connection is used by one exchange at a time. It returns to the pool only after a complete response to the
+//! request of that exchange. In any other case it is closed at once, which also cancels the work of a backend
+//! server.
 
 use crate::process::clock;
 use bytes::Bytes;
@@ -20,61 +20,61 @@
 use trestlerack::Name;
 use trestlerack::process::{ConnectionCounter, ConnectionKind, ConnectionPermit};
 
-/// Time to open a connection. Links take a few milliseconds; a lost first packet is repeated after
-/// a second, and another server is tried before that.
+/// Time limit for opening a connection. Connecting takes a few milliseconds. A lost SYN packet is sent again only
+/// after a second, and another server is tried before that.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time after which unacknowledged bytes break a connection, for peers that are dark.
+/// Time after which unacknowledged bytes break a connection, to detect unreachable peers.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Idle time of a connection whose server states none.
-const DEFAULT_IDLE: Duration = Duration::from_secs(3);
+/// Idle timeout of a connection whose server sends none.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time to find out whether an address still takes connections. An address whose process has ended
-/// refuses within one round trip, a few milliseconds; the request that asks waits meanwhile.
+/// Time limit for checking whether an address still accepts connections. If its process has ended, the address
+/// refuses within one round trip of a few milliseconds. The request for which this is checked waits meanwhile.
 const LISTEN_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Share of the idle time after which a connection is no longer used, so that its server does not
-/// close it as a request is on the way.
-const IDLE_SHARE: f64 = 0.75;
+/// Fraction of the idle timeout after which a connection is no longer used, so that its server does not
+/// close it while a request is being sent.
+const IDLE_FRACTION: f64 = 0.75;
 
-/// Idle connections kept for one address.
-const MAX_IDLE: usize = 24;
+/// Most idle connections that are kept for one address.
+const MAX_IDLE_PER_ADDRESS: usize = 24;
 
-/// Read buffer of a connection, in bytes; answers of engines are small events.
-const READ_BUFFER: usize = 16 * 1024;
+/// Read buffer of a connection, in bytes. Responses of engines consist of small events.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Why an exchange has no answer.
+/// Why an exchange has no response.
 #[derive(Debug)]
 pub enum ExchangeError {
-    /// No byte of the request left this node.
+    /// No byte of the request was sent.
     NotSent(String),
-    /// The request was sent and no answer came.
-    NoAnswer(String),
+    /// The request was sent and no response arrived.
+    NoResponse(String),
 }
 
 impl std::fmt::Display for ExchangeError {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::NotSent(detail) => write!(formatter, "not sent: {detail}"),
-            Self::NoAnswer(detail) => write!(formatter, "no answer: {detail}"),
+            Self::NoResponse(detail) => write!(formatter, "no response: {detail}"),
         }
     }
 }
 
-/// Whether an address takes connections.
+/// Whether an address accepts connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListenState {
-    /// A process takes them.
+    /// A process accepts them.
     Listening,
-    /// They are refused, as they are once a process has ended.
+    /// They are refused, which is the case after the process has ended.
     Refusing,
-    /// No answer came in time.
+    /// The check did not complete in time or failed for another reason.
     Unknown,
 }
 
 impl ListenState {
-    /// Returns the word that logs use.
+    /// Returns the value in log events.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Listening => "yes",
@@ -84,11 +84,11 @@
     }
 }
 
-/// Why no connection was opened.
+/// Why a connection could not be opened.
 enum OpenError {
-    /// Nothing listens at the address.
+    /// The address refuses connections.
     Refused(String),
-    /// Anything else.
+    /// Any other error.
     Failed(String),
 }
 
@@ -102,12 +102,12 @@
 
 struct IdleConnection {
     connection: OpenConnection,
-    /// Time since boot from which it is used no more.
+    /// Time since boot after which it is no longer used.
     usable_until: Duration,
 }
 
 struct OpenConnection {
-    _seat: ConnectionPermit,
+    _permit: ConnectionPermit,
     sender: SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
 }
@@ -118,12 +118,12 @@
     }
 }
 
-/// Connections by address.
+/// Idle connections by address.
 pub struct ConnectionPool {
     idle: Mutex<HashMap<Name, Vec<IdleConnection>>>,
-    opened: AtomicU64,
-    descriptors: ConnectionCounter,
-    /// Address of the store, whose connections have descriptors of their own.
+    opened_count: AtomicU64,
+    counter: ConnectionCounter,
+    /// Address of the store, whose connections have a limit of their own.
     store: Name,
 }
 
@@ -135,45 +135,45 @@
 
 impl ConnectionPool {
     /// Builds a pool without connections.
-    pub fn new(descriptors: ConnectionCounter, store: Name) -> Self {
-        Self { idle: Mutex::default(), opened: AtomicU64::new(0), descriptors, store }
+    pub fn new(counter: ConnectionCounter, store: Name) -> Self {
+        Self { idle: Mutex::default(), opened_count: AtomicU64::new(0), counter, store }
     }
 
-    /// Takes the descriptor of a connection to an address. Where there is none, an idle connection to
-    /// the address that has most of them is closed for it.
-    fn take_seat(&self, address: &Name) -> Option<ConnectionPermit> {
+    /// Acquires the permit for a connection to an address. If none is left, closes an idle connection of the
+    /// same kind, at the address that has the most of them, and tries again.
+    fn acquire_permit(&self, address: &Name) -> Option<ConnectionPermit> {
         let kind = if *address == self.store { ConnectionKind::Store } else { ConnectionKind::Servers };
-        if let Some(seat) = self.descriptors.try_acquire(kind) {
-            return Some(seat);
+        if let Some(permit) = self.counter.try_acquire(kind) {
+            return Some(permit);
         }
         let mut idle = self.idle.lock().unwrap();
         let is_of_kind =
-            |(held, _): &(&Name, &mut Vec<IdleConnection>)| (**held == self.store) == (*address == self.store);
+            |(other, _): &(&Name, &mut Vec<IdleConnection>)| (**other == self.store) == (*address == self.store);
         let most = idle.iter_mut().filter(is_of_kind).max_by_key(|(_, connections)| connections.len());
         drop(most.map(|(_, connections)| connections.pop()));
         drop(idle);
-        self.descriptors.try_acquire(kind)
+        self.counter.try_acquire(kind)
     }
 
-    /// Returns how many connections were opened.
-    pub fn opened(&self) -> u64 {
-        self.opened.load(Ordering::Relaxed)
+    /// Returns how many connections were opened since the start.
+    pub fn opened_count(&self) -> u64 {
+        self.opened_count.load(Ordering::Relaxed)
     }
 
-    /// Closes idle connections whose time is over.
+    /// Closes idle connections whose idle timeout has passed.
     pub fn expire(&self) {
         let now = clock::since_boot();
         let mut idle = self.idle.lock().unwrap();
         for connections in idle.values_mut() {
-            connections.retain(|held| held.usable_until > now && !held.connection.sender.is_closed());
+            connections.retain(|idle| idle.usable_until > now && !idle.connection.sender.is_closed());
         }
         idle.retain(|_, connections| !connections.is_empty());
     }
 
-    /// Sends a request and returns the head of the answer with the connection that brings its body.
+    /// Sends a request and returns the head of the response with the connection from which the body is read.
     ///
-    /// A pooled connection that turns out closed before the request was written is replaced. With
-    /// `wants_fresh`, a new connection is opened, for requests that must not be sent twice.
+    /// A pooled connection that was closed before the request was written is replaced. With `wants_fresh`, a new
+    /// connection is opened, for requests that must not be sent twice.
     pub async fn send(
         &self,
         address: &Name,
@@ -187,7 +187,7 @@
                     Ok(response) => return Ok((response, lease)),
                     Err(mut error) => match error.take_message() {
                         Some(unsent) => request = unsent,
-                        None => return Err(ExchangeError::NoAnswer(error.error().to_string())),
+                        None => return Err(ExchangeError::NoResponse(error.error().to_string())),
                     },
                 }
             }
@@ -195,7 +195,7 @@
         let mut lease = self.open(address).await?;
         match lease.connection.sender.send_request(request).await {
             Ok(response) => Ok((response, lease)),
-            Err(error) => Err(ExchangeError::NoAnswer(error.to_string())),
+            Err(error) => Err(ExchangeError::NoResponse(error.to_string())),
         }
     }
 
@@ -203,16 +203,16 @@
         let now = clock::since_boot();
         let mut idle = self.idle.lock().unwrap();
         let connections = idle.get_mut(address)?;
-        while let Some(held) = connections.pop() {
-            let is_usable = held.usable_until > now && held.connection.sender.is_ready();
+        while let Some(candidate) = connections.pop() {
+            let is_usable = candidate.usable_until > now && candidate.connection.sender.is_ready();
             if is_usable {
-                return Some(ConnectionLease { connection: held.connection, address: address.clone() });
+                return Some(ConnectionLease { connection: candidate.connection, address: address.clone() });
             }
         }
         None
     }
 
-    /// Finds out whether an address takes connections. One that it opens is kept for a later exchange.
+    /// Checks whether an address accepts connections. The connection that it opens is kept for a later exchange.
     pub async fn listen_state(self: &Arc<Self>, address: &Name) -> ListenState {
         match clock::timeout(LISTEN_TIMEOUT, self.open(address)).await {
             Ok(Ok(lease)) => {
@@ -225,8 +225,8 @@
     }
 
     async fn open(&self, address: &Name) -> Result<ConnectionLease, OpenError> {
-        let Some(seat) = self.take_seat(address) else {
-            return Err(OpenError::Failed(format!("no descriptor is left for a connection to {address}")));
+        let Some(permit) = self.acquire_permit(address) else {
+            return Err(OpenError::Failed(format!("no file descriptor is left for a connection to {address}")));
         };
         let stream = match clock::timeout(CONNECT_TIMEOUT, TcpStream::connect(&**address)).await {
             Ok(Ok(stream)) => stream,
@@ -234,33 +234,33 @@
                 return Err(OpenError::Refused(format!("cannot connect to {address}: {error}")));
             }
             Ok(Err(error)) => return Err(OpenError::Failed(format!("cannot connect to {address}: {error}"))),
-            Err(_) => return Err(OpenError::Failed(format!("connecting to {address} took too long"))),
+            Err(_) => return Err(OpenError::Failed(format!("timed out connecting to {address}"))),
         };
-        self.opened.fetch_add(1, Ordering::Relaxed);
-        prepare(&stream);
-        let handshake = http1::Builder::new().max_buf_size(READ_BUFFER).handshake(TokioIo::new(stream)).await;
+        self.opened_count.fetch_add(1, Ordering::Relaxed);
+        set_socket_options(&stream);
+        let handshake = http1::Builder::new().max_buf_size(READ_BUFFER_BYTES).handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(|error| OpenError::Failed(error.to_string()))?;
         let task = tokio::spawn(async move {
-            // The exchange that uses the connection sees the error too and reports it.
+            // The exchange that uses the connection gets the error too and reports it.
             let _ = connection.await;
         });
-        Ok(ConnectionLease { connection: OpenConnection { _seat: seat, sender, task }, address: address.clone() })
+        Ok(ConnectionLease { connection: OpenConnection { _permit: permit, sender, task }, address: address.clone() })
     }
 
-    /// Takes a connection back after a whole answer.
+    /// Returns a connection to the pool after a complete response.
     pub fn keep(self: &Arc<Self>, lease: ConnectionLease, idle_limit: Option<Duration>) {
-        let usable = idle_limit.unwrap_or(DEFAULT_IDLE).mul_f64(IDLE_SHARE);
+        let usable = idle_limit.unwrap_or(DEFAULT_IDLE_TIMEOUT).mul_f64(IDLE_FRACTION);
         let ConnectionLease { connection, address } = lease;
         let mut idle = self.idle.lock().unwrap();
         let connections = idle.entry(address).or_default();
-        if connections.len() < MAX_IDLE {
+        if connections.len() < MAX_IDLE_PER_ADDRESS {
             connections.push(IdleConnection { connection, usable_until: clock::since_boot() + usable });
         }
     }
 }
 
-/// Sets the options of a socket. A socket that refuses one still works, only less promptly.
-pub fn prepare(stream: &TcpStream) {
+/// Sets the options of a socket. Errors are ignored, since a socket without them works with more delay.
+pub fn set_socket_options(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let _ = socket2::SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
 }
--- a/crates/trestlerackd/src/entry/readiness.rs
+++ b/crates/trestlerackd/src/entry/readiness.rs
@@ -1,4 +1,4 @@
-//! Tells the platform whether clients may be sent here.
+//! Readiness endpoint, by which the platform decides whether to route clients to this node.
 
 use super::front::own_reply;
 use super::node::EntryNode;
@@ -11,7 +11,7 @@
 use tokio::net::TcpListener;
 use trestlerack_platform as platform;
 
-/// Answers the platform's questions until the process ends.
+/// Serves the platform's readiness checks until the process ends.
 pub async fn serve(node: Arc<EntryNode>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
@@ -26,7 +26,7 @@
                 };
                 async move { Ok::<_, Infallible>(own_reply(status, None)) }
             });
-            // The platform asks again in a second if its connection breaks.
+            // If the connection breaks, the platform checks again after a second.
             let _ = hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
         });
     }
--- a/crates/trestlerackd/src/entry/request_history.rs
+++ b/crates/trestlerackd/src/entry/request_history.rs
@@ -1,4 +1,4 @@
-//! What was done for a request so far, which its log line tells.
+//! Tracks the servers that a request was sent to, for its log line and for the usage of its customer.
 
 use super::front::ClientRequest;
 use super::node::EntryNode;
@@ -9,9 +9,9 @@
 use trestlerack::event::{self, LogEvent};
 use trestlerack::{Name, Timestamp};
 
-/// The servers that a request was sent to. Logs how the request ended; one whose trail is dropped
-/// unanswered was left by its client, because that drops everything done for it.
-pub struct RequestTrail {
+/// The servers that a request was sent to. Logs how the request ended. If a history is dropped without a
+/// response, the client has disconnected, because that drops all work on its request.
+pub struct RequestHistory {
     node: Arc<EntryNode>,
     request: Name,
     route: Name,
@@ -19,58 +19,58 @@
     tried: Vec<Name>,
     /// Servers that may have run the request.
     runs: u32,
-    is_answered: bool,
+    has_response: bool,
     usage: RequestUsage,
 }
 
-/// Usage that a request is counted as, once, whichever way it ends: also where its client left.
+/// Usage of a request, which is counted once however the request ends, also if its client disconnects.
 struct RequestUsage {
-    /// Customer that is charged; `None` where none is or once the request is counted.
+    /// Customer that is charged; `None` if there is none or the request was counted already.
     customer: Option<Name>,
-    /// Time of day at which it began to run, if it did.
-    began_ms: Option<u64>,
+    /// Wall-clock time at which it started to run, in milliseconds; `None` if it did not run.
+    started_ms: Option<u64>,
 }
 
-impl RequestTrail {
-    /// Begins the trail of a request.
+impl RequestHistory {
+    /// Creates the history of a request that has just arrived.
     pub fn new(node: &Arc<EntryNode>, request: &ClientRequest, route: &Name) -> Self {
-        let usage = RequestUsage { customer: request.customer().cloned(), began_ms: None };
+        let usage = RequestUsage { customer: request.customer().cloned(), started_ms: None };
         let request = request.head.request_id.clone().unwrap_or_else(|| "".into());
         let (node, route, started) = (node.clone(), route.clone(), node.now());
-        Self { node, request, route, started, tried: Vec::new(), runs: 0, is_answered: false, usage }
+        Self { node, request, route, started, tried: Vec::new(), runs: 0, has_response: false, usage }
     }
 
     /// Records a server that the request is sent to.
-    pub fn add(&mut self, server: &Name) {
+    pub fn record_server(&mut self, server: &Name) {
         self.tried.push(server.clone());
-        self.begins();
+        self.record_start();
     }
 
-    /// Records that the request begins to run about now, unless it did before.
-    pub fn begins(&mut self) {
-        self.usage.began_ms = Some(self.node.usage.wall_ms());
+    /// Records that the request starts to run now.
+    pub fn record_start(&mut self) {
+        self.usage.started_ms = Some(self.node.usage.wall_ms());
     }
 
     /// Records that the server added last did not run the request.
-    pub fn did_not_run(&mut self) {
-        self.usage.began_ms = None;
+    pub fn record_not_run(&mut self) {
+        self.usage.started_ms = None;
     }
 
-    /// Counts the request as usage of its customer if it began to run and is not counted yet.
+    /// Counts the request as usage of its customer if it started to run and was not counted yet.
     fn count_usage(&mut self) {
-        let Some(began_ms) = self.usage.began_ms else { return };
+        let Some(started_ms) = self.usage.started_ms else { return };
         if let Some(customer) = self.usage.customer.take() {
-            self.node.usage.count(&customer, began_ms);
+            self.node.usage.count(&customer, started_ms);
         }
     }
 
     /// Records that the server added last may have run the request.
-    pub fn add_run(&mut self) {
+    pub fn record_run(&mut self) {
         self.runs += 1;
         self.count_usage();
     }
 
-    /// Returns when the request came.
+    /// Returns when the request arrived.
     pub fn started(&self) -> Timestamp {
         self.started
     }
@@ -80,26 +80,26 @@
         &self.tried
     }
 
-    /// Returns how many servers may have run the request; those that refused it do not count
+    /// Returns how many servers may have run the request. Servers that refused it do not count
     /// against its attempts.
     pub fn runs(&self) -> u32 {
         self.runs
     }
 
-    /// Logs and counts the answer.
-    pub fn answered(&mut self, status: StatusCode) {
-        self.is_answered = true;
+    /// Logs the response and counts it in the metrics.
+    pub fn record_response(&mut self, status: StatusCode) {
+        self.has_response = true;
         self.count_usage();
-        self.write(event::REQUEST_ANSWERED, &[("status", &status.as_u16())]);
-        self.node.metrics.request(&self.route, status, self.node.now().since(self.started));
+        self.log(event::REQUEST_ANSWERED, &[("status", &status.as_u16())]);
+        self.node.metrics.record_request(&self.route, status, self.node.now().since(self.started));
     }
 
-    /// Logs that a server brought no answer.
-    pub fn attempt_failed(&self, server: &Name, why: &dyn Display) {
+    /// Logs that an attempt at a server failed.
+    pub fn log_failed_attempt(&self, server: &Name, why: &dyn Display) {
         logs::write(event::ATTEMPT_FAILED, &[("request", &self.request), ("server", server), ("why", why)]);
     }
 
-    fn write(&self, event: LogEvent, outcome: &[(&str, &dyn Display)]) {
+    fn log(&self, event: LogEvent, outcome: &[(&str, &dyn Display)]) {
         let (servers, ms) = (self.tried.join(","), self.node.now().since(self.started).as_millis());
         let fields: [(&str, &dyn Display); 4] =
             [("request", &self.request), ("route", &self.route), ("servers", &servers), ("ms", &ms)];
@@ -107,11 +107,11 @@
     }
 }
 
-impl Drop for RequestTrail {
+impl Drop for RequestHistory {
     fn drop(&mut self) {
-        if !self.is_answered {
+        if !self.has_response {
             self.count_usage();
-            self.write(event::REQUEST_LEFT, &[]);
+            self.log(event::REQUEST_LEFT, &[]);
         }
     }
 }
--- a/crates/trestlerackd/src/entry/room/entrance.rs
+++ b/crates/trestlerackd/src/entry/room/entrance.rs
@@ -2,7 +2,7 @@
 
 use super::LOOK_INTERVAL;
 use super::wait::{refuse_unserved, wait_for_place};
-use crate::entry::in_flight::ServerTicket;
+use crate::entry::in_flight::InFlightGuard;
 use crate::entry::node::EntryNode;
 use crate::entry::shares;
 use crate::process::{clock, logs};
@@ -54,17 +54,17 @@
 pub async fn enter(
     node: &Arc<EntryNode>,
     call: &RoomCall<'_>,
-    pick: impl Fn(SlotNeed) -> Option<ServerTicket>,
-) -> Result<ServerTicket, Option<Duration>> {
+    pick: impl Fn(SlotNeed) -> Option<InFlightGuard>,
+) -> Result<InFlightGuard, Option<Duration>> {
     let waiting_call = call.waiting_call(node);
     // A place that only looks free is tried all the same: a server that is full says so sooner than a wait
     // would tell, and another one may have a place.
     if !node.room.is_waited_for(call.service)
-        && let Some(ticket) = pick(SlotNeed::One)
+        && let Some(guard) = pick(SlotNeed::One)
     {
         let now = node.now();
         node.room.with_queue(call.service, |held| held.queue.record_bypass(now, &waiting_call));
-        return Ok(ticket);
+        return Ok(guard);
     }
     if call.kind == CallKind::Score {
         // A score call is made again soon, and in the queue it would hold up clients.
@@ -74,13 +74,13 @@
     let hold = wait_for_place(node, call.service, waiting_call.clone()).await;
     let hold = hold.map_err(|refusal| Some(refusal.retry_after))?;
     let pick = || pick(SlotNeed::One).or_else(|| pick(SlotNeed::Any));
-    let ticket = pick();
+    let guard = pick();
     // Counted at the server by now, so that the next one does not take the same place.
     drop(hold);
-    match ticket {
-        Some(ticket) => Ok(ticket),
+    match guard {
+        Some(guard) => Ok(guard),
         None => match search(node, call.arrived + longest_wait, pick).await {
-            Some(ticket) => Ok(ticket),
+            Some(guard) => Ok(guard),
             None => Err(Some(refuse_unserved(node, call.service, &waiting_call))),
         },
     }
@@ -88,11 +88,11 @@
 
 /// Looks for a server until a moment, where those that have room will not do for the call: they were
 /// tried already, or load the weights that it asks for.
-async fn search(node: &EntryNode, until: Timestamp, pick: impl Fn() -> Option<ServerTicket>) -> Option<ServerTicket> {
+async fn search(node: &EntryNode, until: Timestamp, pick: impl Fn() -> Option<InFlightGuard>) -> Option<InFlightGuard> {
     while node.now() < until {
         clock::sleep(LOOK_INTERVAL).await;
-        if let Some(ticket) = pick() {
-            return Some(ticket);
+        if let Some(guard) = pick() {
+            return Some(guard);
         }
     }
     None
--- a/crates/trestlerackd/src/entry/room/wait.rs
+++ b/crates/trestlerackd/src/entry/room/wait.rs
@@ -81,12 +81,12 @@
     let hold = |state| PlaceHold { node: node.clone(), service: service.clone(), state };
     match (admission, ending) {
         (AdmissionDecision::Refuse(refusal), _) => {
-            shares::note_short(node, service);
+            shares::record_overload(node, service);
             log_refusal(node, service, &about, refusal, &view.estimate);
             Err(refusal)
         }
         (AdmissionDecision::Wait { id, expected }, Some((receiver, is_first))) => {
-            shares::note_short(node, service);
+            shares::record_overload(node, service);
             let hold = hold(HoldState::Waits(id, receiver));
             node.metrics.room.queued(service, length);
             log_wait(service, &about, length, expected, &view.estimate);
--- a/crates/trestlerackd/src/entry/score_calls.rs
+++ b/crates/trestlerackd/src/entry/score_calls.rs
@@ -1,10 +1,10 @@
-//! Calls to scoring services, which may be repeated.
+//! Calls to scoring services, which are repeatable.
 
 use super::attempt::{self, AttemptError};
-use super::in_flight::ServerTicket;
+use super::in_flight::InFlightGuard;
 use super::node::EntryNode;
 use super::room::{self, RoomCall};
-use super::server_responses::{self, AnswerWatch};
+use super::server_responses::{self, ResponseTimer};
 use super::{plain, second_attempts, shares, suspects, urgency};
 use crate::process::clock;
 use crate::process::logs;
@@ -19,52 +19,52 @@
 use trestlerack::{Name, Timestamp, event};
 use trestlerack_platform::EngineRequest;
 
-/// Most servers that work on one call at a time. A second one gets it when the first takes longer
-/// than is usual, and the first goes on: a call that takes long by itself would never end if it
-/// were cut.
-const SERVERS_AT_ONCE: usize = 2;
+/// Most servers that run one call in parallel. A second server gets the call when the first exceeds the late
+/// threshold, and the first goes on, since a call that takes long by itself would never complete if it were
+/// cancelled.
+const MAX_PARALLEL_SERVERS: usize = 2;
 
-/// Shortest time before another server is looked for; a route may state no target latency, and there
-/// may be no other server.
-const LEAST_PATIENCE: Duration = Duration::from_millis(20);
+/// Shortest time before another server is searched. A route may have no target latency, and there may be no
+/// other server.
+const MIN_OVERDUE_THRESHOLD: Duration = Duration::from_millis(20);
 
-/// How a score call came out.
-pub enum ScoreEnd {
-    /// The signature of the scoring service's answer.
+/// Result of a score call.
+pub enum ScoreOutcome {
+    /// The signature of the scoring service's response.
     Scored(Name),
-    /// The scoring service answered that it failed, which counts against the item.
+    /// The scoring service responded with a failure, which counts against the item.
     Failed,
-    /// There is no answer; the call may be made again.
-    NoAnswer,
-    /// The call is not to be made for so long: servers ended under it.
-    Held(Duration),
+    /// There is no response; the call may be repeated.
+    NoResponse,
+    /// The call is blocked for this time, because servers crashed while they ran it.
+    Blocked(Duration),
 }
 
-/// Returns the fingerprint of what a call asks for.
+/// Returns the fingerprint of the content of a call.
 pub fn fingerprint(call: &ScoreCall) -> RequestFingerprint {
     RequestContent { customer: None, host: &call.host, path: &call.path, body: &call.body }.fingerprint()
 }
 
-/// Has the text of `item` scored, within the time limit of the scorer's route, for a job of `customer`.
-pub async fn score(node: &Arc<EntryNode>, item: &Name, customer: Option<&Name>, call: &ScoreCall) -> ScoreEnd {
+/// Scores the text of `item` for a job of `customer`, within the time limit of the scorer's route.
+pub async fn score(node: &Arc<EntryNode>, item: &Name, customer: Option<&Name>, call: &ScoreCall) -> ScoreOutcome {
     let started = node.now();
     let mut tried: Vec<Name> = Vec::new();
-    let call_use = call_service(node, call).map(|service| shares::count(node, &service, customer));
-    let end = ask_servers(node, customer, call, &mut tried).await;
-    if let (ScoreEnd::Scored(_), Some(call_use)) = (&end, call_use) {
-        call_use.served();
+    let call_usage = call_service(node, call).map(|service| shares::count_call(node, &service, customer));
+    let outcome = try_servers(node, customer, call, &mut tried).await;
+    if let (ScoreOutcome::Scored(_), Some(call_usage)) = (&outcome, call_usage) {
+        call_usage.record_served();
     }
-    let outcome = match &end {
-        ScoreEnd::Scored(_) => "scored",
-        ScoreEnd::Failed => "failed",
-        ScoreEnd::NoAnswer => "no answer",
-        ScoreEnd::Held(_) => "held",
+    let label = match &outcome {
+        ScoreOutcome::Scored(_) => "scored",
+        ScoreOutcome::Failed => "failed",
+        ScoreOutcome::NoResponse => "no answer",
+        ScoreOutcome::Blocked(_) => "held",
     };
     let ms = node.now().since(started).as_millis();
     let fields: [(&str, &dyn std::fmt::Display); 5] =
-        [("request", &call.id), ("item", item), ("end", &outcome), ("servers", &tried.join(",")), ("ms", &ms)];
+        [("request", &call.id), ("item", item), ("end", &label), ("servers", &tried.join(",")), ("ms", &ms)];
     logs::write(event::SCORE_ENDED, &fields);
-    end
+    outcome
 }
 
 /// Returns the service that scores a call.
@@ -73,78 +73,80 @@
     routing.select(&call.host, &call.path)?.service_for(&call.id).cloned()
 }
 
-/// Asks servers until one answers; `tried` takes their names.
-async fn ask_servers(
+/// Tries servers until one responds; their names are added to `tried`.
+async fn try_servers(
     node: &Arc<EntryNode>,
     customer: Option<&Name>,
     call: &ScoreCall,
     tried: &mut Vec<Name>,
-) -> ScoreEnd {
-    let Some(routing) = node.routing() else { return ScoreEnd::NoAnswer };
-    let Some(route) = routing.select(&call.host, &call.path) else { return ScoreEnd::NoAnswer };
-    let Some(service) = route.service_for(&call.id) else { return ScoreEnd::NoAnswer };
+) -> ScoreOutcome {
+    let Some(routing) = node.routing() else { return ScoreOutcome::NoResponse };
+    let Some(route) = routing.select(&call.host, &call.path) else { return ScoreOutcome::NoResponse };
+    let Some(service) = route.service_for(&call.id) else { return ScoreOutcome::NoResponse };
     let deadline = node.now() + plain::time_limit(route, None);
-    let rank = urgency::of_score(&routing, route, service, customer);
+    let priority = urgency::of_score(&routing, route, service, customer);
     let fingerprint = fingerprint(call);
     let (kind, arrived) = (CallKind::Score, node.now());
     let directory = routing.customers.as_ref();
     let customer = customer.and_then(|name| directory?.get(name));
-    let room_call = RoomCall { id: &call.id, service, route, customer, kind, arrived, deadline };
-    let is_by_room = room::is_active(node, service);
+    let service_call = RoomCall { id: &call.id, service, route, customer, kind, arrived, deadline };
+    let uses_admission = room::is_active(node, service);
     let mut attempts = FuturesUnordered::new();
-    let mut starts: Vec<AnswerWatch> = Vec::new();
+    let mut timers: Vec<ResponseTimer> = Vec::new();
     let mut next_at = node.now();
-    let mut early_at = None;
-    let (mut is_trial, mut is_early) = (false, false);
-    if is_by_room {
-        room::note_call(node, &room_call);
+    let mut hedge_at = None;
+    let (mut is_probe, mut is_hedge) = (false, false);
+    if uses_admission {
+        room::note_call(node, &service_call);
     }
     loop {
         if attempts.is_empty()
-            && let Some(left) = suspects::held_for(node, fingerprint)
+            && let Some(left) = suspects::blocked_for(node, fingerprint)
         {
-            suspects::log_held(node, &call.id, fingerprint, left);
-            return ScoreEnd::Held(left);
+            suspects::log_blocked(node, &call.id, fingerprint, left);
+            return ScoreOutcome::Blocked(left);
         }
-        // A second server beside the first would be one more that ends.
-        let servers_at_once = if suspects::is_suspect(node, fingerprint) { 1 } else { SERVERS_AT_ONCE };
-        let is_due = attempts.len() < servers_at_once && node.now() >= next_at;
-        let pick = |room| pick_server(node, fingerprint, service, tried, room);
-        let ticket = match attempts.len() {
+        // A second server that runs a suspect content in parallel could crash too.
+        let max_parallel = if suspects::is_suspect(node, fingerprint) { 1 } else { MAX_PARALLEL_SERVERS };
+        let is_due = attempts.len() < max_parallel && node.now() >= next_at;
+        let pick = |slot_need| pick_server(node, fingerprint, service, tried, slot_need);
+        let guard = match attempts.len() {
             _ if !is_due || !node.may_start_work() => None,
-            open if is_by_room => find_place(node, &room_call, open == 0, is_trial || !is_early, pick).await,
+            pending if uses_admission => {
+                find_slot(node, &service_call, pending == 0, is_probe || !is_hedge, pick).await
+            }
             _ => pick(SlotNeed::One),
         };
-        if let Some(ticket) = ticket {
-            tried.push(ticket.server.instance.clone());
-            starts.push(AnswerWatch::start(node));
-            is_trial = second_attempts::is_trial(node, &ticket.server.instance);
-            attempts.push(attempt_score(node, call, route, ticket, deadline, rank));
+        if let Some(guard) = guard {
+            tried.push(guard.server.instance.clone());
+            timers.push(ResponseTimer::start(node));
+            is_probe = second_attempts::is_trial(node, &guard.server.instance);
+            attempts.push(send_score_call(node, call, route, guard, deadline, priority));
         }
         if is_due {
-            is_early = false;
-            next_at = node.now() + patience(node, service, route);
-            early_at = second_attempts::after(node, route, service).map(|after| node.now() + after);
+            is_hedge = false;
+            next_at = node.now() + overdue_threshold(node, service, route);
+            hedge_at = second_attempts::after(node, route, service).map(|delay| node.now() + delay);
         }
-        let wake_at = early_at.map_or(next_at, |early| next_at.min(early));
-        let answer = match attempts.len() {
-            // There is nothing to do before one of them answers or its time is over.
-            open if open >= servers_at_once => Ok(attempts.next().await),
+        let wake_at = hedge_at.map_or(next_at, |hedge_at| next_at.min(hedge_at));
+        let ended = match attempts.len() {
+            // There is nothing to do before one of the attempts ends.
+            pending if pending >= max_parallel => Ok(attempts.next().await),
             _ => clock::timeout(wake_at.since(node.now()), attempts.next()).await,
         };
-        match answer {
-            Ok(Some((server, ScoreEnd::Scored(signature)))) => {
-                note_slower(node, route, tried, &starts, &server);
-                return ScoreEnd::Scored(signature);
+        match ended {
+            Ok(Some((server, ScoreOutcome::Scored(signature)))) => {
+                record_slower_servers(node, route, tried, &timers, &server);
+                return ScoreOutcome::Scored(signature);
             }
-            Ok(Some((_, ScoreEnd::Failed))) => return ScoreEnd::Failed,
-            Ok(Some((_, ScoreEnd::Held(left)))) => return ScoreEnd::Held(left),
-            Ok(Some((_, ScoreEnd::NoAnswer))) if attempts.is_empty() => return ScoreEnd::NoAnswer,
-            Ok(None) => return ScoreEnd::NoAnswer,
-            Ok(Some((_, ScoreEnd::NoAnswer))) => next_at = node.now(),
+            Ok(Some((_, ScoreOutcome::Failed))) => return ScoreOutcome::Failed,
+            Ok(Some((_, ScoreOutcome::Blocked(left)))) => return ScoreOutcome::Blocked(left),
+            Ok(Some((_, ScoreOutcome::NoResponse))) if attempts.is_empty() => return ScoreOutcome::NoResponse,
+            Ok(None) => return ScoreOutcome::NoResponse,
+            Ok(Some((_, ScoreOutcome::NoResponse))) => next_at = node.now(),
             Err(_) => {
-                is_early = early_at.take_if(|early| *early < next_at).is_some();
-                if is_early && second_attempts::has_place(node, service) {
+                is_hedge = hedge_at.take_if(|hedge_at| *hedge_at < next_at).is_some();
+                if is_hedge && second_attempts::has_place(node, service) {
                     next_at = node.now();
                 }
             }
@@ -152,27 +154,27 @@
     }
 }
 
-/// Returns how long an answer may take before a second server is asked: what is usual for the
-/// service, or the route's target latency until that is known.
-fn patience(node: &EntryNode, service: &Name, route: &RequestRoute) -> Duration {
-    let usual = node.balancer.lock().unwrap().late_threshold(service);
-    usual.unwrap_or(Duration::from_millis(route.target_latency_ms)).max(LEAST_PATIENCE)
+/// Returns the time after which a second server gets the call: the late threshold of the service, or the route's
+/// target latency until that is known.
+fn overdue_threshold(node: &EntryNode, service: &Name, route: &RequestRoute) -> Duration {
+    let late_threshold = node.balancer.lock().unwrap().late_threshold(service);
+    late_threshold.unwrap_or(Duration::from_millis(route.target_latency_ms)).max(MIN_OVERDUE_THRESHOLD)
 }
 
-/// Finds a server with a free place, if nobody waits for one: the first of a call, or one more beside it,
-/// which is paid for unless it `is_free`.
-async fn find_place(
+/// Finds a server with a free slot. The first attempt of a call is admitted in the order of the queue. A further
+/// one is charged to the budget of second attempts unless it `is_free`.
+async fn find_slot(
     node: &Arc<EntryNode>,
     call: &RoomCall<'_>,
     is_first: bool,
     is_free: bool,
-    pick: impl Fn(SlotNeed) -> Option<ServerTicket>,
-) -> Option<ServerTicket> {
+    pick: impl Fn(SlotNeed) -> Option<InFlightGuard>,
+) -> Option<InFlightGuard> {
     if is_first {
         return room::enter(node, call, pick).await.ok();
     }
-    let ticket = pick(SlotNeed::One)?;
-    (is_free || room::may_try_again(node, call, AttemptReason::Hedge)).then_some(ticket)
+    let guard = pick(SlotNeed::One)?;
+    (is_free || room::may_try_again(node, call, AttemptReason::Hedge)).then_some(guard)
 }
 
 fn pick_server(
@@ -180,46 +182,52 @@
     fingerprint: RequestFingerprint,
     service: &Name,
     tried: &[Name],
-    room: SlotNeed,
-) -> Option<ServerTicket> {
+    slot_need: SlotNeed,
+) -> Option<InFlightGuard> {
     let need = ServerNeed {
         service,
         avoid: tried,
-        slot_need: room,
+        slot_need,
         zone: &node.settings.zone,
         tie_key: &node.settings.name,
         is_repeatable: true,
         ..ServerNeed::default()
     };
-    let entry = suspects::choose_apart(node, fingerprint, &need)?;
-    Some(ServerTicket::new(node, entry, fingerprint))
+    let entry = suspects::choose_server(node, fingerprint, &need)?;
+    Some(InFlightGuard::new(node, entry, fingerprint))
 }
 
-/// Takes note of the servers that were asked before the one that answered: they are slow or silent.
-/// Where they are compared by their times, a slow one is not paused like one that fails.
-fn note_slower(node: &EntryNode, route: &RequestRoute, tried: &[Name], starts: &[AnswerWatch], answered: &Name) {
+/// Records that the servers that got the call before the responding one are slow or unresponsive. If latencies of
+/// servers are compared, a slow one is not paused like one that fails.
+fn record_slower_servers(
+    node: &EntryNode,
+    route: &RequestRoute,
+    tried: &[Name],
+    timers: &[ResponseTimer],
+    responding: &Name,
+) {
     let now = node.now();
-    for (server, watch) in tried.iter().zip(starts).take_while(|(server, _)| *server != answered) {
+    for (server, timer) in tried.iter().zip(timers).take_while(|(server, _)| *server != responding) {
         let is_compared = node.balancer.lock().unwrap().is_compared(server);
         if is_compared {
-            server_responses::cut(node, server, &route.name, *watch);
+            server_responses::record_cancelled(node, server, &route.name, *timer);
         } else {
             node.balancer.lock().unwrap().failed(now, server);
         }
     }
 }
 
-async fn attempt_score(
+async fn send_score_call(
     node: &Arc<EntryNode>,
     call: &ScoreCall,
     route: &RequestRoute,
-    ticket: ServerTicket,
+    guard: InFlightGuard,
     deadline: Timestamp,
-    rank: Option<u8>,
-) -> (Name, ScoreEnd) {
-    let (instance, service) = (ticket.server.instance.clone(), ticket.server.service.clone());
-    let watch = AnswerWatch::start(node);
-    let left = deadline.since(watch.started);
+    priority: Option<u8>,
+) -> (Name, ScoreOutcome) {
+    let (instance, service) = (guard.server.instance.clone(), guard.server.service.clone());
+    let timer = ResponseTimer::start(node);
+    let left = deadline.since(timer.started);
     let request = EngineRequest {
         method: Method::POST,
         path: &call.path,
@@ -227,43 +235,43 @@
         request_id: &call.id,
         headers: HeaderMap::new(),
         instance: &instance,
-        // A score is of the item, for which its customer was identified already.
+        // The customer was identified when the job with the item was accepted.
         customer: None,
         time_left: Some(left),
-        priority: rank,
+        priority,
         exact_version: None,
         resume_after: None,
         body: call.body.clone(),
     };
-    let end = match attempt::whole_answer(node, ticket, request, false, left).await {
-        Ok(answer) if answer.status.is_success() => match answer.head.signature {
+    let outcome = match attempt::fetch_response(node, guard, request, false, left).await {
+        Ok(response) if response.status.is_success() => match response.head.signature {
             Some(signature) => {
-                node.balancer.lock().unwrap().record_latency(&service, node.now().since(watch.started));
-                server_responses::took(node, &instance, &route.name, watch);
-                ScoreEnd::Scored(signature)
+                node.balancer.lock().unwrap().record_latency(&service, node.now().since(timer.started));
+                server_responses::record_success(node, &instance, &route.name, timer);
+                ScoreOutcome::Scored(signature)
             }
-            None => ScoreEnd::NoAnswer,
+            None => ScoreOutcome::NoResponse,
         },
-        Ok(answer) if answer.status == StatusCode::INTERNAL_SERVER_ERROR => ScoreEnd::Failed,
-        // Its deadline passed, or something before it failed: no failure of the item.
-        Ok(answer) => {
+        Ok(response) if response.status == StatusCode::INTERNAL_SERVER_ERROR => ScoreOutcome::Failed,
+        // The deadline passed or something in front of the scorer failed, so the item did not fail.
+        Ok(response) => {
             node.balancer.lock().unwrap().failed(node.now(), &instance);
-            server_responses::failed(node, &instance);
-            log_score(call, &instance, &answer.status);
-            ScoreEnd::NoAnswer
+            server_responses::record_failure(node, &instance);
+            log_failed_attempt(call, &instance, &response.status);
+            ScoreOutcome::NoResponse
         }
-        Err(AttemptError::Held(left)) => ScoreEnd::Held(left),
+        Err(AttemptError::Blocked(left)) => ScoreOutcome::Blocked(left),
         Err(error) => {
             if !error.is_not_run() {
-                server_responses::failed(node, &instance);
+                server_responses::record_failure(node, &instance);
             }
-            log_score(call, &instance, &error);
-            ScoreEnd::NoAnswer
+            log_failed_attempt(call, &instance, &error);
+            ScoreOutcome::NoResponse
         }
     };
-    (instance, end)
+    (instance, outcome)
 }
 
-fn log_score(call: &ScoreCall, server: &Name, why: &dyn std::fmt::Display) {
+fn log_failed_attempt(call: &ScoreCall, server: &Name, why: &dyn std::fmt::Display) {
     logs::write(event::ATTEMPT_FAILED, &[("request", &call.id), ("server", server), ("why", why)]);
 }
--- a/crates/trestlerackd/src/entry/server_feed.rs
+++ b/crates/trestlerackd/src/entry/server_feed.rs
@@ -149,7 +149,7 @@
 }
 
 fn take_news(node: &Arc<EntryNode>, news: ServerNews) {
-    news.gone.iter().for_each(|server| suspects::server_gone(node, server));
+    news.gone.iter().for_each(|server| suspects::record_server_gone(node, server));
     if news.changed.is_empty() && news.removed.is_empty() {
         return;
     }
--- a/crates/trestlerackd/src/entry/server_responses.rs
+++ b/crates/trestlerackd/src/entry/server_responses.rs
@@ -1,4 +1,4 @@
-//! How backend servers answered, told to the board and, where it is news, to peers.
+//! Records how backend servers responded in the load balancer, and shares new observations with peers.
 
 use super::load_gossip::observations;
 use super::node::EntryNode;
@@ -8,67 +8,68 @@
 use trestlerack::process::{LoadBalancer, SuspensionDetector};
 use trestlerack::{Name, Timestamp};
 
-/// Records how long work takes at a server, as it stated. The first to do so has a node that started ask
-/// a peer what it knows.
+/// Records the slowness that a server reports, in percent. After the first report since its start, a node
+/// asks a peer for the observations of the other servers.
 pub fn record_reported_slowness(node: &Arc<EntryNode>, server: &str, percent: u32) {
     let is_first = node.balancer.lock().unwrap().record_reported_slowness(node.now(), server, percent);
     if is_first {
-        tokio::spawn(observations::ask_peer(node.clone()));
+        tokio::spawn(observations::pull_from_peer(node.clone()));
     }
 }
 
-/// Measures how long a server takes. A time in which the VM was suspended says nothing of the server.
+/// Measures how long a server takes to respond. The time is discarded if the VM was suspended meanwhile, since
+/// it then says nothing about the server.
 #[derive(Clone, Copy)]
-pub struct AnswerWatch {
-    /// When the server was asked.
+pub struct ResponseTimer {
+    /// Time at which the request was sent to the server.
     pub started: Timestamp,
-    gauge: SuspensionDetector,
+    suspension: SuspensionDetector,
 }
 
-impl AnswerWatch {
-    /// Starts to measure.
+impl ResponseTimer {
+    /// Starts the timer now.
     pub fn start(node: &EntryNode) -> Self {
-        let mut gauge = SuspensionDetector::default();
+        let mut suspension = SuspensionDetector::default();
         let (since_boot, monotonic) = clock::both_clocks();
-        gauge.update(since_boot, monotonic);
-        Self { started: node.now(), gauge }
+        suspension.update(since_boot, monotonic);
+        Self { started: node.now(), suspension }
     }
 
     /// Returns the time since the start, or `None` if the VM was suspended since.
     fn elapsed(mut self, node: &EntryNode) -> Option<Duration> {
         let (since_boot, monotonic) = clock::both_clocks();
-        let suspended = self.gauge.update(since_boot, monotonic);
+        let suspended = self.suspension.update(since_boot, monotonic);
         suspended.is_none().then(|| node.now().since(self.started))
     }
 }
 
-/// Records that a good answer to a request of `route` has come now.
-pub fn took(node: &EntryNode, server: &str, route: &Name, watch: AnswerWatch) {
-    if let Some(elapsed) = watch.elapsed(node) {
-        note(node, |balancer| balancer.record_response(node.now(), server, route, elapsed));
+/// Records that a successful response to a request of `route` has arrived now.
+pub fn record_success(node: &EntryNode, server: &str, route: &Name, timer: ResponseTimer) {
+    if let Some(elapsed) = timer.elapsed(node) {
+        record_and_share(node, |balancer| balancer.record_response(node.now(), server, route, elapsed));
     }
 }
 
-/// Records that a server has not answered yet.
-pub fn outstanding(node: &EntryNode, server: &str, route: &Name, watch: AnswerWatch) {
-    if let Some(elapsed) = watch.elapsed(node) {
-        note(node, |balancer| balancer.record_pending_response(node.now(), server, route, elapsed));
+/// Records that a server has not responded yet.
+pub fn record_pending(node: &EntryNode, server: &str, route: &Name, timer: ResponseTimer) {
+    if let Some(elapsed) = timer.elapsed(node) {
+        record_and_share(node, |balancer| balancer.record_pending_response(node.now(), server, route, elapsed));
     }
 }
 
-/// Records that the work of a server was ended now, because one that was asked later answered.
-pub fn cut(node: &EntryNode, server: &str, route: &Name, watch: AnswerWatch) {
-    if let Some(elapsed) = watch.elapsed(node) {
-        note(node, |balancer| balancer.record_cancelled_response(node.now(), server, route, elapsed));
+/// Records that a request at a server was cancelled now because a server that got it later responded first.
+pub fn record_cancelled(node: &EntryNode, server: &str, route: &Name, timer: ResponseTimer) {
+    if let Some(elapsed) = timer.elapsed(node) {
+        record_and_share(node, |balancer| balancer.record_cancelled_response(node.now(), server, route, elapsed));
     }
 }
 
-/// Records an answer that is a failure, or none.
-pub fn failed(node: &EntryNode, server: &str) {
-    note(node, |balancer| balancer.record_failed_response(node.now(), server));
+/// Records that a server failed a request or did not respond to it.
+pub fn record_failure(node: &EntryNode, server: &str) {
+    record_and_share(node, |balancer| balancer.record_failed_response(node.now(), server));
 }
 
-fn note(node: &EntryNode, record: impl FnOnce(&mut LoadBalancer)) {
+fn record_and_share(node: &EntryNode, record: impl FnOnce(&mut LoadBalancer)) {
     let has_observations = {
         let mut balancer = node.balancer.lock().unwrap();
         record(&mut balancer);
--- a/crates/trestlerackd/src/entry/shares/mod.rs
+++ b/crates/trestlerackd/src/entry/shares/mod.rs
@@ -1,12 +1,12 @@
-//! Shares of customers, as this node applies them.
+//! Fair shares of customers, as this node applies them.
 //!
-//! Calls are counted and judged here ([`ask`]); [`super::load_gossip`] tells the node that adds up. Nothing
-//! is counted where the settings do not ask for it or the configuration names no customers. See
+//! Calls are counted and admitted here ([`admit`]); [`super::load_gossip`] reports usage to the aggregator node.
+//! Nothing is counted unless the settings enable shares and the configuration has customers. See
 //! [docs/design/room.md](../../../../../docs/design/room.md).
 
 mod control;
 
-pub use control::ShareDesk;
+pub use control::ShareControl;
 
 use super::front::ClientRequest;
 use super::node::EntryNode;
@@ -17,90 +17,90 @@
 use trestlerack::version::RequestRoute;
 use trestlerack::{Name, Timestamp, event};
 
-/// A call of a customer that was counted as asked for; [`CallUse::served`] counts it as given.
-pub struct CallUse {
+/// A call that was counted as requested by its customer; [`CallUsage::record_served`] counts it as served.
+pub struct CallUsage {
     node: Arc<EntryNode>,
-    /// The call; `None` where nothing is counted.
+    /// The counted call; `None` if shares are not applied.
     call: Option<CountedCall>,
-    began: Timestamp,
+    started: Timestamp,
 }
 
-impl CallUse {
+impl CallUsage {
     fn new(node: &Arc<EntryNode>, call: Option<CountedCall>) -> Self {
-        Self { node: node.clone(), call, began: node.now() }
+        Self { node: node.clone(), call, started: node.now() }
     }
 
-    /// Counts the call as served, now that a server has answered it whole.
-    pub fn served(self) {
-        let took = self.node.now().since(self.began);
-        self.give(Some(took));
+    /// Counts the call as served after a complete response, with its duration.
+    pub fn record_served(self) {
+        let took = self.node.now().since(self.started);
+        self.record(Some(took));
     }
 
-    /// Counts the call as served whose answer has only begun.
-    pub fn begun(self) {
-        self.give(None);
+    /// Counts the call as served when its response has started; its duration is not known.
+    pub fn record_started(self) {
+        self.record(None);
     }
 
-    fn give(self, took: Option<Duration>) {
+    fn record(self, took: Option<Duration>) {
         if let Some(call) = &self.call {
-            self.node.shares.give(self.node.now(), call, took);
+            self.node.shares.record_served(self.node.now(), call, took);
         }
     }
 }
 
-/// Counts a client's request, or refuses it because its customer is over its share: it then says when it
-/// may return.
-pub fn ask(node: &Arc<EntryNode>, route: &RequestRoute, request: &ClientRequest) -> Result<CallUse, Duration> {
+/// Counts a client's request. If its customer is over its share, refuses it with the time after which the client
+/// may retry.
+pub fn admit(node: &Arc<EntryNode>, route: &RequestRoute, request: &ClientRequest) -> Result<CallUsage, Duration> {
     let id = request.head.request_id.as_ref();
     let Some(service) = route.service_for(id.map_or("", |id| id)).filter(|_| is_active(node)) else {
-        return Ok(CallUse::new(node, None));
+        return Ok(CallUsage::new(node, None));
     };
     let customer = request.caller.customer();
     let name = customer.map_or_else(|| "".into(), |customer| customer.name.clone());
     let weight = customer.map_or(1, |customer| customer.weight);
-    match node.shares.ask(node.now(), service, &name, weight) {
-        ShareDecision::Admitted(call) => Ok(CallUse::new(node, Some(call))),
-        ShareDecision::OverShare(returns) => {
+    match node.shares.admit(node.now(), service, &name, weight) {
+        ShareDecision::Admitted(call) => Ok(CallUsage::new(node, Some(call))),
+        ShareDecision::OverShare(retry_after) => {
             let request_id = id.map_or("", |id| id);
             let fields: [(&str, &dyn std::fmt::Display); 4] = [
                 ("request", &request_id),
                 ("customer", &name),
                 ("service", service),
-                ("return_ms", &returns.as_millis()),
+                ("return_ms", &retry_after.as_millis()),
             ];
             logs::write(event::SHARE_REFUSED, &fields);
-            node.metrics.over_share(service);
-            Err(returns)
+            node.metrics.record_over_share(service);
+            Err(retry_after)
         }
     }
 }
 
-/// Counts a call of a job, which was accepted and is not refused any more.
-pub fn count(node: &Arc<EntryNode>, service: &Name, customer: Option<&Name>) -> CallUse {
+/// Counts a call of a job that was accepted before, so it is not refused.
+pub fn count_call(node: &Arc<EntryNode>, service: &Name, customer: Option<&Name>) -> CallUsage {
     let routing = node.routing();
     let directory = routing.as_ref().and_then(|routing| routing.customers.as_ref());
     let Some(directory) = directory.filter(|_| is_active(node)) else {
-        return CallUse::new(node, None);
+        return CallUsage::new(node, None);
     };
     let weight = customer.and_then(|name| directory.get(name)).map_or(1, |customer| customer.weight);
     let customer = customer.cloned().unwrap_or_else(|| "".into());
     let call = node.shares.count(node.now(), service, &customer, weight);
-    CallUse::new(node, Some(call))
+    CallUsage::new(node, Some(call))
 }
 
-/// Returns whether a customer has more than its share of a service.
+/// Returns whether a customer is over its share of a service.
 pub fn is_over_share(node: &EntryNode, service: &Name, customer: Option<&Name>) -> bool {
     customer.is_some_and(|customer| node.shares.is_over_share(node.now(), service, customer))
 }
 
-/// Records that a service has no room for a call: it was refused, or has to wait.
-pub fn note_short(node: &EntryNode, service: &Name) {
+/// Records that a service has no free slot for a call, which was refused or has to wait.
+pub fn record_overload(node: &EntryNode, service: &Name) {
     if is_active(node) {
-        node.shares.note_short(node.now(), service);
+        node.shares.record_overload(node.now(), service);
     }
 }
 
-/// Returns whether shares are applied: the settings ask for them and the configuration names customers.
+/// Returns whether shares are applied: the settings enable them and the configuration has customers.
 fn is_active(node: &EntryNode) -> bool {
     node.settings.customer_shares && node.routing().is_some_and(|routing| routing.customers.is_some())
 }
--- a/crates/trestlerackd/src/entry/status.rs
+++ b/crates/trestlerackd/src/entry/status.rs
@@ -1,9 +1,9 @@
-//! What operators may ask a node on its metrics address: customers and what they take, who does which
-//! duty, requests under which servers ended, how servers answer, who waits for room, and what is held for
-//! callers, and where the node hears of changes.
+//! Status endpoints for operators on a node's metrics address: customers and their usage, lease holders of
+//! the duties, request contents that crashed servers, the health of servers, queued calls, memory held for
+//! callers, and the source from which the node gets changes.
 //!
-//! Answers are JSON and come from what the node knows, without a call to the store. They hold no
-//! key; [docs/API.md](../../../../docs/API.md#entry-nodes) has the fields.
+//! Responses are JSON and are built from the state of the node, without a call to the store. They contain no
+//! API keys; [docs/API.md](../../../../docs/API.md#entry-nodes) has the fields.
 
 use super::held;
 use super::node::EntryNode;
@@ -16,198 +16,209 @@
 /// Path of the list of customers.
 const CUSTOMERS_PATH: &str = "/v1/customers";
 
-/// Path of the list of customers by what they take.
+/// Path of the list of customers by usage.
 const SHARES_PATH: &str = "/v1/shares";
 
-/// Customers told at most, those that ask for most first.
-const MOST_SHARES: usize = 32;
+/// Most customers in the list, those that requested most first.
+const MAX_SHARES: usize = 32;
 
 /// Path of the list of duties.
 const DUTIES_PATH: &str = "/v1/duties";
 
-/// Path of the list of contents under which servers ended.
+/// Path of the list of request contents that crashed servers.
 const SUSPECTS_PATH: &str = "/v1/suspects";
 
 /// Path of the list of backend servers.
 const SERVERS_PATH: &str = "/v1/servers";
 
-/// Path of the list of services whose calls are admitted by room.
-const ROOM_PATH: &str = "/v1/room";
+/// Path of the list of services whose calls are admitted by free slots.
+const ADMISSION_PATH: &str = "/v1/room";
 
-/// Path of where the node hears of changes.
-const LEVEL_PATH: &str = "/v1/level";
+/// Path of the source from which the node gets changes.
+const FOLLOWER_PATH: &str = "/v1/level";
 
-/// Path of the list of what is held.
+/// Path of the list of memory in use.
 const MEMORY_PATH: &str = "/v1/memory";
 
 #[derive(Serialize)]
-struct CustomerLine {
+struct CustomerJson {
     name: Name,
     priority: Option<u8>,
     keys: usize,
-    /// Configuration that says so.
+    /// Version of the configuration that this comes from.
     configuration: u64,
 }
 
 #[derive(Serialize)]
-struct DutyLine {
+struct DutyJson {
     duty: &'static str,
-    /// Node that holds the lease, as this one last read it.
+    /// Lease holder, as this node last read it.
     holder: Option<Name>,
     fence: u64,
-    /// Whether the node that answers holds it now.
+    /// Whether this node holds the lease now.
     is_held_here: bool,
 }
 
 #[derive(Serialize)]
-struct LevelLine {
-    /// Where the node hears of changes: from the store or from a follower.
+struct FollowerJson {
+    /// Source of changes: the store or a follower.
     source: &'static str,
-    /// Nodes that follow the store; null while all do.
+    /// Number of nodes that follow the store; null while all do.
     followers: Option<usize>,
-    /// Whether the node passes changes on.
-    passes_on: bool,
-    /// Servers that it makes use of.
+    /// Whether the node relays changes to other nodes.
+    #[serde(rename = "passes_on")]
+    relays_changes: bool,
+    /// Number of servers that the node uses.
     servers: usize,
 }
 
 #[derive(Serialize)]
-struct ShareEntry {
+struct ShareJson {
     service: Name,
     customer: Name,
-    asked_ms: u64,
-    given_ms: u64,
-    /// Part of its calls that is admitted; null for all.
-    part: Option<f32>,
+    #[serde(rename = "asked_ms")]
+    requested_ms: u64,
+    #[serde(rename = "given_ms")]
+    served_ms: u64,
+    /// Fraction of its calls that is admitted; null for all.
+    #[serde(rename = "part")]
+    fraction: Option<f32>,
 }
 
 #[derive(Serialize)]
-struct SuspectEntry {
+struct SuspectJson {
     fingerprint: String,
-    standing: &'static str,
-    /// Seconds for which it is held.
-    left_s: u64,
-    ended: usize,
+    #[serde(rename = "standing")]
+    state: &'static str,
+    /// Seconds for which the content stays blocked.
+    #[serde(rename = "left_s")]
+    blocked_for_s: u64,
+    #[serde(rename = "ended")]
+    crashes: usize,
     unexplained: usize,
 }
 
 #[derive(Serialize)]
-struct ServerEntryLine {
+struct ServerJson {
     server: Name,
     service: Name,
-    standing: &'static str,
-    expected: f64,
+    #[serde(rename = "standing")]
+    health: &'static str,
+    #[serde(rename = "expected")]
+    expected_slowness: f64,
     sent: u64,
     slowness: f64,
-    failing: f64,
-    told_by: Option<Name>,
-    told_slowness: Option<f64>,
-    told_failing: Option<f64>,
-    told_age_ms: Option<u64>,
+    #[serde(rename = "failing")]
+    failure_rate: f64,
+    #[serde(rename = "told_by")]
+    reported_by: Option<Name>,
+    #[serde(rename = "told_slowness")]
+    reported_slowness: Option<f64>,
+    #[serde(rename = "told_failing")]
+    reported_failure_rate: Option<f64>,
+    #[serde(rename = "told_age_ms")]
+    report_age_ms: Option<u64>,
 }
 
-/// Answers a question for a path; `None` if it is no question of this module.
-pub fn answer(node: &EntryNode, path: &str) -> Option<Vec<u8>> {
-    let lines = match path {
+/// Returns the JSON body for a path; `None` if it is not a path of this module.
+pub fn respond(node: &EntryNode, path: &str) -> Option<Vec<u8>> {
+    let body = match path {
         CUSTOMERS_PATH => serde_json::to_vec(&customers(node)),
         SHARES_PATH => serde_json::to_vec(&shares(node)),
         DUTIES_PATH => serde_json::to_vec(&duties(node)),
         SUSPECTS_PATH => serde_json::to_vec(&suspects(node)),
         SERVERS_PATH => serde_json::to_vec(&servers(node)),
-        ROOM_PATH => serde_json::to_vec(&room::lines(node)),
-        LEVEL_PATH => serde_json::to_vec(&[level(node)]),
+        ADMISSION_PATH => serde_json::to_vec(&room::lines(node)),
+        FOLLOWER_PATH => serde_json::to_vec(&[follower(node)]),
         MEMORY_PATH => serde_json::to_vec(&held::memory_lines(&node.held)),
         _ => return None,
     };
-    lines.ok()
+    body.ok()
 }
 
-fn customers(node: &EntryNode) -> Vec<CustomerLine> {
+fn customers(node: &EntryNode) -> Vec<CustomerJson> {
     let Some(routing) = node.routing() else { return Vec::new() };
     let configuration = routing.version;
-    let lines = routing.customers.iter().flat_map(|directory| directory.iter()).map(|(customer, keys)| CustomerLine {
-        name: customer.name.clone(),
-        priority: customer.priority,
-        keys,
-        configuration,
+    let entries = routing.customers.iter().flat_map(|directory| directory.iter()).map(|(customer, keys)| {
+        CustomerJson { name: customer.name.clone(), priority: customer.priority, keys, configuration }
     });
-    lines.collect()
+    entries.collect()
 }
 
-fn level(node: &EntryNode) -> LevelLine {
-    LevelLine {
+fn follower(node: &EntryNode) -> FollowerJson {
+    FollowerJson {
         source: if node.levels.is_direct() { "store" } else { "follower" },
         followers: node.levels.followers().map(|followers| followers.len()),
-        passes_on: node.levels.passes_on(),
+        relays_changes: node.levels.passes_on(),
         servers: node.balancer.lock().unwrap().instances().count(),
     }
 }
 
-fn shares(node: &EntryNode) -> Vec<ShareEntry> {
-    let entry = |line: ShareStatus| {
-        let ShareStatus { service, customer, requested_ms: asked_ms, served_ms: given_ms, fraction: part } = line;
-        ShareEntry { service, customer, asked_ms, given_ms, part }
+fn shares(node: &EntryNode) -> Vec<ShareJson> {
+    let to_json = |status: ShareStatus| {
+        let ShareStatus { service, customer, requested_ms, served_ms, fraction } = status;
+        ShareJson { service, customer, requested_ms, served_ms, fraction }
     };
-    node.shares.lines(node.now(), MOST_SHARES).into_iter().map(entry).collect()
+    node.shares.statuses(node.now(), MAX_SHARES).into_iter().map(to_json).collect()
 }
 
-fn suspects(node: &EntryNode) -> Vec<SuspectEntry> {
-    let lines = node.suspects.book().statuses(node.now());
-    let entry = |line: &SuspectStatus| {
-        let (standing, left) = match line.state {
+fn suspects(node: &EntryNode) -> Vec<SuspectJson> {
+    let statuses = node.suspects.tracker().statuses(node.now());
+    let to_json = |status: &SuspectStatus| {
+        let (state, left) = match status.state {
             SuspectState::Blocked(left) => ("held", left),
             SuspectState::Suspected(_) => ("suspected", Duration::ZERO),
             SuspectState::Clear => ("clear", Duration::ZERO),
         };
-        let SuspectStatus { crashes: ended, unexplained, .. } = *line;
-        let fingerprint = line.fingerprint.to_string();
-        SuspectEntry { fingerprint, standing, left_s: left.as_secs(), ended, unexplained }
+        let SuspectStatus { crashes, unexplained, .. } = *status;
+        let fingerprint = status.fingerprint.to_string();
+        SuspectJson { fingerprint, state, blocked_for_s: left.as_secs(), crashes, unexplained }
     };
-    lines.iter().map(entry).collect()
+    statuses.iter().map(to_json).collect()
 }
 
-fn servers(node: &EntryNode) -> Vec<ServerEntryLine> {
-    let lines = node.balancer.lock().unwrap().server_statuses(node.now());
-    let entry = |line: ServerStatus| {
-        let told = line.received.as_ref();
-        ServerEntryLine {
-            standing: line.health.as_str(),
-            expected: rounded(line.expected_slowness),
-            sent: line.sent,
-            slowness: rounded(line.measured.slowness),
-            failing: rounded(line.measured.failure_rate),
-            told_by: told.map(|told| told.origin.clone()),
-            told_slowness: told.map(|told| rounded(told.stats.slowness)),
-            told_failing: told.map(|told| rounded(told.stats.failure_rate)),
-            told_age_ms: told.map(|told| told.age_ms),
-            server: line.instance,
-            service: line.service,
+fn servers(node: &EntryNode) -> Vec<ServerJson> {
+    let statuses = node.balancer.lock().unwrap().server_statuses(node.now());
+    let to_json = |status: ServerStatus| {
+        let received = status.received.as_ref();
+        ServerJson {
+            health: status.health.as_str(),
+            expected_slowness: rounded(status.expected_slowness),
+            sent: status.sent,
+            slowness: rounded(status.measured.slowness),
+            failure_rate: rounded(status.measured.failure_rate),
+            reported_by: received.map(|received| received.origin.clone()),
+            reported_slowness: received.map(|received| rounded(received.stats.slowness)),
+            reported_failure_rate: received.map(|received| rounded(received.stats.failure_rate)),
+            report_age_ms: received.map(|received| received.age_ms),
+            server: status.instance,
+            service: status.service,
         }
     };
-    lines.into_iter().map(entry).collect()
+    statuses.into_iter().map(to_json).collect()
 }
 
-/// Rounds to hundredths, which is as much as the figures say.
+/// Rounds to hundredths, which is the precision of the figures.
 fn rounded(value: f64) -> f64 {
     (value * 100.0).round() / 100.0
 }
 
-fn duties(node: &EntryNode) -> Vec<DutyLine> {
+fn duties(node: &EntryNode) -> Vec<DutyJson> {
     let lease = node.lease.row();
-    let held = lease.as_ref().filter(|row| !row.released);
+    let active_lease = lease.as_ref().filter(|row| !row.released);
     let is_held_here = node.lease.fence(node.now()).is_some();
-    let line = |duty| DutyLine {
+    let to_json = |duty| DutyJson {
         duty,
-        holder: held.map(|row| row.holder.clone()),
+        holder: active_lease.map(|row| row.holder.clone()),
         fence: lease.as_ref().map_or(0, |row| row.fence),
         is_held_here,
     };
-    let mut lines = vec![line("weight orders")];
+    let mut entries = vec![to_json("weight orders")];
     if node.settings.usage().is_some() {
-        lines.push(line("usage reports"));
+        entries.push(to_json("usage reports"));
     }
     if !node.settings.duty_service.is_empty() {
-        lines.push(line("engine orders"));
+        entries.push(to_json("engine orders"));
     }
-    lines
+    entries
 }
--- a/crates/trestlerackd/src/entry/store.rs
+++ b/crates/trestlerackd/src/entry/store.rs
@@ -58,7 +58,7 @@
         let (response, lease) = match self.pool.send(&self.address, request, false).await {
             Ok(answer) => answer,
             Err(ExchangeError::NotSent(_)) => return Err(StoreError::Unavailable),
-            Err(ExchangeError::NoAnswer(_)) => return Err(StoreError::Unknown),
+            Err(ExchangeError::NoResponse(_)) => return Err(StoreError::Unknown),
         };
         let (parts, body) = response.into_parts();
         let head = platform::decode_reply_head(&parts.headers);
--- a/crates/trestlerackd/src/entry/streams.rs
+++ b/crates/trestlerackd/src/entry/streams.rs
@@ -1,10 +1,10 @@
 //! Passes event streams on as they arrive, and resumes those that may be resumed.
 
-use super::attempt::{self, OpenAnswer};
+use super::attempt::{self, StreamingResponse};
 use super::front::{BrokenReply, ClientRequest, ReplyBody};
 use super::node::EntryNode;
-use super::plain::{self, Shortfall};
-use super::request_history::RequestTrail;
+use super::plain::{self, RequestFailure};
+use super::request_history::RequestHistory;
 use super::{crash_detection, suspects, urgency};
 use crate::process::clock;
 use bytes::Bytes;
@@ -29,8 +29,8 @@
     route: RequestRoute,
     request: ClientRequest,
     deadline: Timestamp,
-    trail: RequestTrail,
-    open: OpenAnswer,
+    history: RequestHistory,
+    open: StreamingResponse,
     decoder: EventDecoder,
     last_event: Option<u64>,
     /// What the stream costs; its events are read only as the client reads them.
@@ -43,30 +43,30 @@
     route: &RequestRoute,
     request: ClientRequest,
     deadline: Timestamp,
-    mut trail: RequestTrail,
+    mut history: RequestHistory,
 ) -> Response<ReplyBody> {
     let resume_after = request.head.resume_after;
     let Ok(held) = node.held.ledger.try_reserve(MemoryPurpose::Streams, STREAM_BYTES) else {
-        let reply = plain::failure_reply(&request, &Shortfall::NotRun, true);
-        trail.answered(reply.status());
+        let reply = plain::failure_reply(&request, &RequestFailure::NotRun, true);
+        history.record_response(reply.status());
         return reply;
     };
-    let opened = open(node, route, &request, deadline, resume_after, &mut trail).await;
+    let opened = open(node, route, &request, deadline, resume_after, &mut history).await;
     let open = match opened {
         Ok(open) => open,
-        Err(shortfall) => {
-            let reply = plain::failure_reply(&request, &shortfall, trail.tried().is_empty());
-            trail.answered(reply.status());
+        Err(failure) => {
+            let reply = plain::failure_reply(&request, &failure, history.tried().is_empty());
+            history.record_response(reply.status());
             return reply;
         }
     };
-    trail.answered(open.status);
+    history.record_response(open.status);
     let relay = StreamRelay {
         node: node.clone(),
         route: route.clone(),
         request,
         deadline,
-        trail,
+        history,
         open,
         decoder: EventDecoder::default(),
         last_event: resume_after,
@@ -82,52 +82,52 @@
     request: &ClientRequest,
     deadline: Timestamp,
     resume_after: Option<u64>,
-    trail: &mut RequestTrail,
-) -> Result<OpenAnswer, Shortfall> {
+    history: &mut RequestHistory,
+) -> Result<StreamingResponse, RequestFailure> {
     let fingerprint = request.fingerprint();
-    let mut shortfall = Shortfall::NotRun;
-    while trail.runs() < route.max_attempts {
-        if let Some(left) = plain::hold_back(node, request, fingerprint) {
-            shortfall = shortfall.or_held(left);
+    let mut failure = RequestFailure::NotRun;
+    while history.runs() < route.max_attempts {
+        if let Some(left) = plain::check_blocked(node, request, fingerprint) {
+            failure = failure.with_retry_after(left);
             break;
         }
-        let ticket = match plain::find_server(node, route, request, fingerprint, deadline, trail).await {
-            Ok(ticket) => ticket,
+        let guard = match plain::find_server(node, route, request, fingerprint, deadline, history).await {
+            Ok(guard) => guard,
             Err(return_after) => {
-                shortfall = shortfall.or_returning(return_after);
+                failure = failure.with_optional_retry_after(return_after);
                 break;
             }
         };
-        let instance = ticket.server.instance.clone();
+        let instance = guard.server.instance.clone();
         let left = deadline.since(node.now());
         let mut engine_request = plain::engine_request(request, &instance, left);
         engine_request.resume_after = resume_after;
-        let service = &ticket.server.service;
+        let service = &guard.server.service;
         engine_request.priority = urgency::of_request(node, route, service, request, left, resume_after);
-        let opening = attempt::open_answer(node, ticket, engine_request, !route.resumable);
+        let opening = attempt::open_response(node, guard, engine_request, !route.resumable);
         match clock::timeout(left, opening).await {
             Ok(Ok(answer)) => {
                 // A generation begins with its first event, with which the head comes.
-                trail.begins();
-                trail.add_run();
+                history.record_start();
+                history.record_run();
                 return Ok(answer);
             }
             Ok(Err(error)) => {
-                trail.attempt_failed(&instance, &error);
+                history.log_failed_attempt(&instance, &error);
                 if error.is_not_run() {
-                    trail.did_not_run();
+                    history.record_not_run();
                     continue;
                 }
-                trail.add_run();
-                shortfall = Shortfall::MayHaveRun;
-                if !route.resumable || suspects::is_repeated(node, fingerprint) {
-                    return Err(shortfall);
+                history.record_run();
+                failure = RequestFailure::MayHaveRun;
+                if !route.resumable || suspects::has_repeated_crashes(node, fingerprint) {
+                    return Err(failure);
                 }
             }
-            Err(_) => return Err(Shortfall::TimedOut),
+            Err(_) => return Err(RequestFailure::TimedOut),
         }
     }
-    Err(shortfall)
+    Err(failure)
 }
 
 impl StreamRelay {
@@ -153,8 +153,8 @@
     }
 
     fn keep_connection(self) {
-        suspects::answered(&self.node, &self.open.ticket);
-        self.node.balancer.lock().unwrap().succeeded(&self.open.ticket.server.instance);
+        suspects::record_response(&self.node, &self.open.guard);
+        self.node.balancer.lock().unwrap().succeeded(&self.open.guard.server.instance);
         if !self.open.head.is_closing {
             self.node.pool.keep(self.open.lease, self.open.head.idle_limit);
         }
@@ -172,7 +172,7 @@
             };
             if why.is::<hyper::Error>() {
                 let id = self.request.id();
-                crash_detection::connection_broke(&self.node, &self.open.ticket, id).await;
+                crash_detection::check_broken_connection(&self.node, &self.open.guard, id).await;
             }
             self.resume(why).await?;
         }
@@ -204,15 +204,15 @@
 
     /// Goes on at another server after the last whole event, if the route allows it.
     async fn resume(&mut self, why: BrokenReply) -> Result<(), BrokenReply> {
-        let instance = self.open.ticket.server.instance.clone();
+        let instance = self.open.guard.server.instance.clone();
         self.node.balancer.lock().unwrap().failed(self.node.now(), &instance);
-        self.trail.attempt_failed(&instance, &why);
-        let is_repeated = suspects::is_repeated(&self.node, self.open.ticket.fingerprint);
-        if !self.route.resumable || !self.open.status.is_success() || is_repeated {
+        self.history.log_failed_attempt(&instance, &why);
+        let has_repeated_crashes = suspects::has_repeated_crashes(&self.node, self.open.guard.fingerprint);
+        if !self.route.resumable || !self.open.status.is_success() || has_repeated_crashes {
             return Err(why);
         }
         let opened =
-            open(&self.node, &self.route, &self.request, self.deadline, self.last_event, &mut self.trail).await;
+            open(&self.node, &self.route, &self.request, self.deadline, self.last_event, &mut self.history).await;
         match opened {
             Ok(answer) if answer.status == self.open.status => {
                 self.open = answer;
--- a/crates/trestlerackd/src/entry/suspects/control.rs
+++ b/crates/trestlerackd/src/entry/suspects/control.rs
@@ -1,4 +1,4 @@
-//! What a node knows of suspects, and what of it other nodes are still to be told.
+//! State of suspect contents at a node, and the crash reports that are still to be stored or sent to peers.
 
 use crate::entry::tables;
 use std::collections::BTreeMap;
@@ -10,130 +10,130 @@
 use trestlerack::process::{CrashReport, DISCOVERY_LAG, EntrySettings, SuspectSettings, SuspectTracker, TrialGrants};
 use trestlerack::request::RequestFingerprint;
 
-/// Strikes that wait to be stored, at most. In an outage as long as a strike's life, ends of a server a
-/// second leave 600.
-const MOST_WAITING: usize = 2_048;
+/// Most row changes that wait to be stored. In an outage as long as the retention of a report, one crash per
+/// second leaves 600.
+const MAX_UNSTORED_CHANGES: usize = 2_048;
 
-/// Strikes told to a peer at once, at most, newest first; some 50 bytes each.
-pub(super) const MOST_TOLD: usize = 1_000;
+/// Most crash reports in one message to a peer, newest first; about 50 bytes each.
+pub(super) const MAX_SENT_REPORTS: usize = 1_000;
 
-/// A change of a strike's row that waits to be stored.
+/// A change of the row of a crash report that waits to be stored.
 #[derive(Clone, Copy)]
 pub(super) enum RowChange {
-    /// The server ended at this time of this node's clock.
+    /// The server crashed at this time on this node's clock.
     Put { at: Timestamp, is_trial: bool },
-    /// The strike is void.
+    /// The report was cleared.
     Remove,
 }
 
-pub(super) type StrikeKey = (RequestFingerprint, u64);
+pub(super) type CrashKey = (RequestFingerprint, u64);
 
-/// What a node knows of suspects, and what of it other nodes are still to be told.
-pub struct SuspectDesk {
-    book: Mutex<SuspectTracker>,
-    trials: Mutex<TrialGrants>,
-    unstored: Mutex<BTreeMap<StrikeKey, RowChange>>,
-    untold: Mutex<Vec<CrashReport>>,
+/// State of suspect contents at a node, and the crash reports that are still to be stored or sent to peers.
+pub struct SuspectControl {
+    tracker: Mutex<SuspectTracker>,
+    trial_grants: Mutex<TrialGrants>,
+    unstored: Mutex<BTreeMap<CrashKey, RowChange>>,
+    unsent: Mutex<Vec<CrashReport>>,
     pub(super) has_unstored: Notify,
-    pub(super) has_untold: Notify,
-    /// Whether the watch of the system's rows brings no news, or has brought none yet.
-    is_cut_off: AtomicBool,
-    /// Whether a process that started has looked for what is known already.
-    has_looked: AtomicBool,
+    pub(super) has_unsent: Notify,
+    /// Whether the watch of the system's rows delivers no changes, or has delivered none yet.
+    is_watch_down: AtomicBool,
+    /// Whether the process has tried to read the stored reports since its start.
+    has_read_reports: AtomicBool,
 }
 
-impl SuspectDesk {
-    /// Builds a desk that suspects nobody.
+impl SuspectControl {
+    /// Creates a state without suspects.
     pub fn new(settings: &EntrySettings) -> Self {
         let settings =
             SuspectSettings { unresolved_ttl: settings.entry_ttl() + DISCOVERY_LAG, ..SuspectSettings::default() };
         Self {
-            book: Mutex::new(SuspectTracker::new(settings)),
-            trials: Mutex::default(),
+            tracker: Mutex::new(SuspectTracker::new(settings)),
+            trial_grants: Mutex::default(),
             unstored: Mutex::default(),
-            untold: Mutex::default(),
+            unsent: Mutex::default(),
             has_unstored: Notify::new(),
-            has_untold: Notify::new(),
-            is_cut_off: AtomicBool::new(true),
-            has_looked: AtomicBool::new(false),
+            has_unsent: Notify::new(),
+            is_watch_down: AtomicBool::new(true),
+            has_read_reports: AtomicBool::new(false),
         }
     }
 
-    /// Gives access to the book; nothing else is to be locked meanwhile.
-    pub fn book(&self) -> MutexGuard<'_, SuspectTracker> {
-        self.book.lock().unwrap()
+    /// Locks the tracker. No other lock may be acquired while it is held.
+    pub fn tracker(&self) -> MutexGuard<'_, SuspectTracker> {
+        self.tracker.lock().unwrap()
     }
 
-    /// Gives access to the trials that this node keeps for all.
-    pub(super) fn trials(&self) -> MutexGuard<'_, TrialGrants> {
-        self.trials.lock().unwrap()
+    /// Locks the trial grants that this node keeps for all nodes.
+    pub(super) fn trial_grants(&self) -> MutexGuard<'_, TrialGrants> {
+        self.trial_grants.lock().unwrap()
     }
 
-    /// Returns whether a process that started has looked for what is known already, so that clients may
-    /// be sent here.
-    pub fn has_looked(&self) -> bool {
-        self.has_looked.load(Ordering::Relaxed)
+    /// Returns whether the process has tried to read the stored reports since its start, so that clients may be
+    /// routed to it.
+    pub fn has_read_reports(&self) -> bool {
+        self.has_read_reports.load(Ordering::Relaxed)
     }
 
-    pub(super) fn set_looked(&self) {
-        self.has_looked.store(true, Ordering::Relaxed);
+    pub(super) fn set_reports_read(&self) {
+        self.has_read_reports.store(true, Ordering::Relaxed);
     }
 
-    /// Records whether the watch of the system's rows brings news.
-    pub fn set_cut_off(&self, is_cut_off: bool) {
-        self.is_cut_off.store(is_cut_off, Ordering::Relaxed);
+    /// Records whether the watch of the system's rows delivers no changes.
+    pub fn set_watch_down(&self, is_watch_down: bool) {
+        self.is_watch_down.store(is_watch_down, Ordering::Relaxed);
     }
 
-    /// Returns whether the watch of the system's rows brings no news.
-    pub(super) fn is_cut_off(&self) -> bool {
-        self.is_cut_off.load(Ordering::Relaxed)
+    /// Returns whether the watch of the system's rows delivers no changes.
+    pub(super) fn is_watch_down(&self) -> bool {
+        self.is_watch_down.load(Ordering::Relaxed)
     }
 
-    /// Queues strikes for the store; while that is out of reach, for peers as well.
-    pub(super) fn publish(&self, now: Timestamp, notes: &[CrashReport]) {
-        if notes.is_empty() {
+    /// Queues crash reports for the store, and also for peers while the watch is down.
+    pub(super) fn publish(&self, now: Timestamp, reports: &[CrashReport]) {
+        if reports.is_empty() {
             return;
         }
         let mut unstored = self.unstored.lock().unwrap();
-        for note in notes {
-            let at = now - Duration::from_millis(note.age_ms);
+        for report in reports {
+            let at = now - Duration::from_millis(report.age_ms);
             let change =
-                if note.is_cleared { RowChange::Remove } else { RowChange::Put { at, is_trial: note.is_trial } };
-            if unstored.len() < MOST_WAITING {
-                unstored.insert((note.fingerprint, note.server_start), change);
+                if report.is_cleared { RowChange::Remove } else { RowChange::Put { at, is_trial: report.is_trial } };
+            if unstored.len() < MAX_UNSTORED_CHANGES {
+                unstored.insert((report.fingerprint, report.server_start), change);
             }
         }
         drop(unstored);
         self.has_unstored.notify_one();
-        if self.is_cut_off() {
-            self.tell(notes);
+        if self.is_watch_down() {
+            self.queue_for_peers(reports);
         }
     }
 
-    /// Queues strikes for peers.
-    pub(super) fn tell(&self, notes: &[CrashReport]) {
-        let mut untold = self.untold.lock().unwrap();
-        untold.extend_from_slice(notes);
-        let surplus = untold.len().saturating_sub(MOST_TOLD);
-        untold.drain(..surplus);
-        drop(untold);
-        self.has_untold.notify_one();
+    /// Queues crash reports for peers.
+    pub(super) fn queue_for_peers(&self, reports: &[CrashReport]) {
+        let mut unsent = self.unsent.lock().unwrap();
+        unsent.extend_from_slice(reports);
+        let surplus = unsent.len().saturating_sub(MAX_SENT_REPORTS);
+        unsent.drain(..surplus);
+        drop(unsent);
+        self.has_unsent.notify_one();
     }
 
-    /// Takes the strikes that peers are to be told.
-    pub(super) fn take_untold(&self) -> Vec<CrashReport> {
-        std::mem::take(&mut *self.untold.lock().unwrap())
+    /// Takes the crash reports that are to be sent to peers.
+    pub(super) fn take_unsent(&self) -> Vec<CrashReport> {
+        std::mem::take(&mut *self.unsent.lock().unwrap())
     }
 
-    /// Takes changes for one transaction.
-    pub(super) fn take_unstored(&self) -> Vec<(StrikeKey, RowChange)> {
+    /// Takes the row changes for one transaction.
+    pub(super) fn take_unstored(&self) -> Vec<(CrashKey, RowChange)> {
         let mut unstored = self.unstored.lock().unwrap();
-        let keys: Vec<StrikeKey> = unstored.keys().take(tables::COMMIT_ROWS).copied().collect();
+        let keys: Vec<CrashKey> = unstored.keys().take(tables::COMMIT_ROWS).copied().collect();
         keys.into_iter().filter_map(|key| unstored.remove(&key).map(|change| (key, change))).collect()
     }
 
-    /// Puts changes back that could not be stored, unless newer ones came meanwhile.
-    pub(super) fn return_unstored(&self, changes: Vec<(StrikeKey, RowChange)>) {
+    /// Requeues changes that could not be stored, unless newer changes of their rows were queued meanwhile.
+    pub(super) fn requeue_unstored(&self, changes: Vec<(CrashKey, RowChange)>) {
         let mut unstored = self.unstored.lock().unwrap();
         for (key, change) in changes {
             unstored.entry(key).or_insert(change);
--- a/crates/trestlerackd/src/entry/suspects/gossip.rs
+++ b/crates/trestlerackd/src/entry/suspects/gossip.rs
@@ -1,7 +1,7 @@
-//! Strikes told from node to node, while the store does not serve one of them.
+//! Exchange of crash reports between nodes while the store is not available to one of them.
 
-use super::control::MOST_TOLD;
-use super::{StrikeSource, join};
+use super::control::MAX_SENT_REPORTS;
+use super::{ReportSource, merge};
 use crate::entry::node::EntryNode;
 use crate::process::clock;
 use futures_util::future::join_all;
@@ -9,68 +9,68 @@
 use trestlerack::Name;
 use trestlerack::process::{CrashReport, GossipSettings};
 
-/// Takes over what a peer tells, and returns what it may not know.
-pub fn answer_peer(node: &Arc<EntryNode>, told: &[CrashReport]) -> Vec<CrashReport> {
-    let known = newest_notes(node);
-    learn_from_peer(node, told);
-    let is_untold = |note: &CrashReport| {
-        !told.iter().any(|told| {
-            let is_same = told.fingerprint == note.fingerprint && told.server_start == note.server_start;
-            is_same && told.is_trial == note.is_trial && told.is_cleared == note.is_cleared
+/// Merges the crash reports of a peer, and returns those that it may not have.
+pub fn respond_to_peer(node: &Arc<EntryNode>, received: &[CrashReport]) -> Vec<CrashReport> {
+    let known = newest_reports(node);
+    merge_from_peer(node, received);
+    let is_missing_at_peer = |report: &CrashReport| {
+        !received.iter().any(|received| {
+            let is_same = received.fingerprint == report.fingerprint && received.server_start == report.server_start;
+            is_same && received.is_trial == report.is_trial && received.is_cleared == report.is_cleared
         })
     };
-    known.into_iter().filter(is_untold).collect()
+    known.into_iter().filter(is_missing_at_peer).collect()
 }
 
-/// Takes over what a peer told. A node that the store serves stores it, because the peer may not be able
-/// to. Another one passes it on and leaves storing to the node that saw the end: once the store is
-/// back, all nodes would write the same rows at one moment.
-fn learn_from_peer(node: &Arc<EntryNode>, told: &[CrashReport]) {
-    let news = join(node, told, StrikeSource::Peer);
-    if news.is_empty() {
+/// Merges the crash reports of a peer. A node whose store is available stores them, because the peer may not be able
+/// to. Any other node forwards them to peers and leaves storing to the node that saw the crash. Otherwise all nodes
+/// would write the same rows at once when the store is back.
+fn merge_from_peer(node: &Arc<EntryNode>, received: &[CrashReport]) {
+    let new_reports = merge(node, received, ReportSource::Peer);
+    if new_reports.is_empty() {
         return;
     }
-    if node.suspects.is_cut_off() {
-        node.suspects.tell(&news);
+    if node.suspects.is_watch_down() {
+        node.suspects.queue_for_peers(&new_reports);
     } else {
-        node.suspects.publish(node.now(), &news);
+        node.suspects.publish(node.now(), &new_reports);
     }
 }
 
-pub(super) fn newest_notes(node: &EntryNode) -> Vec<CrashReport> {
-    let mut notes = node.suspects.book().reports(node.now());
-    notes.sort_by_key(|note| note.age_ms);
-    notes.truncate(MOST_TOLD);
-    notes
+pub(super) fn newest_reports(node: &EntryNode) -> Vec<CrashReport> {
+    let mut reports = node.suspects.tracker().reports(node.now());
+    reports.sort_by_key(|report| report.age_ms);
+    reports.truncate(MAX_SENT_REPORTS);
+    reports
 }
 
-/// Tells peers of strikes that cannot be stored, until the process ends.
-pub async fn tell_peers(node: Arc<EntryNode>) {
+/// Sends crash reports that cannot be stored to peers, until the process ends.
+pub async fn send_to_peers(node: Arc<EntryNode>) {
     let gossip = GossipSettings::default();
     loop {
-        node.suspects.has_untold.notified().await;
-        let notes = node.suspects.take_untold();
+        node.suspects.has_unsent.notified().await;
+        let reports = node.suspects.take_unsent();
         let chosen = gossip.pick_push_peers(&node.peers.others(), &mut rand::rng());
-        join_all(chosen.iter().map(|peer| exchange(&node, peer, &notes))).await;
+        join_all(chosen.iter().map(|peer| exchange(&node, peer, &reports))).await;
     }
 }
 
-async fn exchange(node: &Arc<EntryNode>, peer: &Name, notes: &[CrashReport]) {
-    // A peer that does not answer hears of it from others, or asks for it.
-    if let Some(answer) = node.peers.tell_strikes(peer, notes).await {
-        learn_from_peer(node, &answer);
+async fn exchange(node: &Arc<EntryNode>, peer: &Name, reports: &[CrashReport]) {
+    // A peer that does not respond gets the reports from other peers, or pulls them.
+    if let Some(response) = node.peers.tell_strikes(peer, reports).await {
+        merge_from_peer(node, &response);
     }
 }
 
-/// Asks peers for their strikes while the store brings no news, until the process ends. A process that
-/// starts asks at once, since the store may be away.
-pub async fn ask_peers(node: Arc<EntryNode>) {
+/// Pulls crash reports from peers while the watch is down, until the process ends. A process that has just started
+/// pulls at once, since the store may be unavailable.
+pub async fn pull_from_peers(node: Arc<EntryNode>) {
     let gossip = GossipSettings::default();
     loop {
-        if node.suspects.is_cut_off() {
+        if node.suspects.is_watch_down() {
             let peer = gossip.pick_pull_peer(&node.peers.others(), &mut rand::rng());
             if let Some(peer) = peer {
-                exchange(&node, &peer, &newest_notes(&node)).await;
+                exchange(&node, &peer, &newest_reports(&node)).await;
             }
         }
         clock::sleep(gossip.pull_interval).await;
