--- a/crates/trestlerackd/src/entry/suspects/mod.rs
+++ b/crates/trestlerackd/src/entry/suspects/mod.rs
@@ -1,8 +1,8 @@
-//! Requests under which servers ended: asks the book, and tells all nodes what it says.
+//! Request contents that crash servers: tracks and blocks them, and shares crash reports with all nodes.
 //!
-//! Strikes are rows of the system's own table, which every node watches, so that they outlast all
-//! processes. While the store serves a node in no way, neither directly nor through peers, it asks
-//! peers for their strikes and tells them its own; see
+//! Crash reports are rows of the system's own table, which every node watches, so that they survive restarts of
+//! all processes. A node that cannot reach the store, neither directly nor through peers, exchanges its reports
+//! with peers; see
 //! [docs/PLATFORM.md](../../../../../docs/PLATFORM.md#requests-that-end-servers).
 
 mod control;
@@ -10,12 +10,12 @@
 mod rows;
 mod trials;
 
-pub use control::SuspectDesk;
-pub use gossip::{answer_peer, ask_peers, tell_peers};
-pub use rows::{apply_row, read_at_start, store_strikes, sweep_rows};
-pub use trials::{ask_trial, grant_trial};
+pub use control::SuspectControl;
+pub use gossip::{pull_from_peers, respond_to_peer, send_to_peers};
+pub use rows::{apply_row, read_at_start, store_reports, sweep_rows};
+pub use trials::{grant_trial, request_trial};
 
-use super::in_flight::ServerTicket;
+use super::in_flight::InFlightGuard;
 use super::node::EntryNode;
 use crate::process::{clock, logs};
 use std::sync::Arc;
@@ -24,15 +24,15 @@
 use trestlerack::process::{CrashReport, ServerEntry, ServerNeed, SuspectState};
 use trestlerack::request::RequestFingerprint;
 
-/// Where a node heard of a strike.
+/// Source of a crash report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum StrikeSource {
+enum ReportSource {
     Own,
     Store,
     Peer,
 }
 
-impl StrikeSource {
+impl ReportSource {
     fn as_str(self) -> &'static str {
         match self {
             Self::Own => "own",
@@ -42,73 +42,73 @@
     }
 }
 
-/// Returns for how long a content is not to be sent to servers, if it is held.
-pub fn held_for(node: &EntryNode, fingerprint: RequestFingerprint) -> Option<Duration> {
-    match node.suspects.book().state(node.now(), fingerprint) {
+/// Returns for how long a content is not sent to servers; `None` if it is not blocked.
+pub fn blocked_for(node: &EntryNode, fingerprint: RequestFingerprint) -> Option<Duration> {
+    match node.suspects.tracker().state(node.now(), fingerprint) {
         SuspectState::Blocked(left) => Some(left),
         SuspectState::Clear | SuspectState::Suspected(_) => None,
     }
 }
 
-/// Chooses a server for a request. A suspect goes where no other suspect of this node is, so that the
-/// next end tells them apart. Under one that was there at a single end, most likely as a bystander, it
-/// may go to any server if there is no other.
-pub fn choose_apart(node: &EntryNode, fingerprint: RequestFingerprint, need: &ServerNeed<'_>) -> Option<ServerEntry> {
+/// Chooses a server for a request. A suspect content goes to a server that runs no other suspect of this node, so
+/// that the next crash can be attributed to one of them. A content with a single crash most likely ran at the server
+/// by chance, so it may go to any server if there is no such one.
+pub fn choose_server(node: &EntryNode, fingerprint: RequestFingerprint, need: &ServerNeed<'_>) -> Option<ServerEntry> {
     let now = node.now();
     let choose =
         |need: &ServerNeed<'_>| node.balancer.lock().unwrap().choose(now, need).map(|server| server.entry.clone());
-    let (standing, shared) = {
-        let book = node.suspects.book();
-        (book.state(now, fingerprint), book.servers_with_other_suspects(fingerprint))
+    let (state, occupied) = {
+        let tracker = node.suspects.tracker();
+        (tracker.state(now, fingerprint), tracker.servers_with_other_suspects(fingerprint))
     };
-    if standing == SuspectState::Clear || shared.is_empty() {
+    if state == SuspectState::Clear || occupied.is_empty() {
         return choose(need);
     }
-    let avoid = [need.avoid, &shared].concat();
-    let apart = choose(&ServerNeed { avoid: &avoid, ..need.clone() });
-    match standing {
-        SuspectState::Suspected(1) => apart.or_else(|| choose(need)),
-        _ => apart,
+    let avoid = [need.avoid, &occupied].concat();
+    let separate = choose(&ServerNeed { avoid: &avoid, ..need.clone() });
+    match state {
+        SuspectState::Suspected(1) => separate.or_else(|| choose(need)),
+        _ => separate,
     }
 }
 
-/// Returns whether servers ended under a content, so that it gets no second server beside the first.
+/// Returns whether servers crashed while they ran a content, so that it is not hedged.
 pub fn is_suspect(node: &EntryNode, fingerprint: RequestFingerprint) -> bool {
-    node.suspects.book().state(node.now(), fingerprint) != SuspectState::Clear
+    node.suspects.tracker().state(node.now(), fingerprint) != SuspectState::Clear
 }
 
-/// Returns whether more than one server ended under a content.
-pub fn is_repeated(node: &EntryNode, fingerprint: RequestFingerprint) -> bool {
-    match node.suspects.book().state(node.now(), fingerprint) {
+/// Returns whether more than one server crashed while it ran a content.
+pub fn has_repeated_crashes(node: &EntryNode, fingerprint: RequestFingerprint) -> bool {
+    match node.suspects.tracker().state(node.now(), fingerprint) {
         SuspectState::Clear => false,
-        SuspectState::Suspected(ended) => ended > 1,
+        SuspectState::Suspected(crashes) => crashes > 1,
         SuspectState::Blocked(_) => true,
     }
 }
 
-/// Returns how long a content is to wait that can: one under which several servers ended, while a verdict
-/// is open, would end one more.
+/// Returns how long a content that can be delayed has to wait. A content with several crashes, of which it is not
+/// decided yet whether it is blocked, could crash one more server.
 pub fn wait_time(node: &EntryNode, fingerprint: RequestFingerprint) -> Duration {
     let now = node.now();
-    let book = node.suspects.book();
-    match book.state(now, fingerprint) {
+    let tracker = node.suspects.tracker();
+    match tracker.state(now, fingerprint) {
         SuspectState::Clear | SuspectState::Suspected(1) => Duration::ZERO,
-        SuspectState::Suspected(_) => book.time_to_settle(now, fingerprint),
+        SuspectState::Suspected(_) => tracker.time_to_settle(now, fingerprint),
         SuspectState::Blocked(left) => left,
     }
 }
 
-/// Logs that a content was not sent to a server.
-pub fn log_held(node: &EntryNode, request: &str, fingerprint: RequestFingerprint, left: Duration) {
-    let ended = node.suspects.book().crash_count(fingerprint);
-    node.metrics.held();
+/// Logs that a blocked content was not sent to a server.
+pub fn log_blocked(node: &EntryNode, request: &str, fingerprint: RequestFingerprint, left: Duration) {
+    let crashes = node.suspects.tracker().crash_count(fingerprint);
+    node.metrics.record_blocked_request();
     let fields: [(&str, &dyn std::fmt::Display); 4] =
-        [("request", &request), ("fingerprint", &fingerprint), ("ended", &ended), ("left_s", &left.as_secs())];
+        [("request", &request), ("fingerprint", &fingerprint), ("ended", &crashes), ("left_s", &left.as_secs())];
     logs::write(event::REQUEST_HELD, &fields);
 }
 
-/// Takes note that a server ended as it worked on a request of this node.
-pub fn server_ended(
+/// Records that a server crashed while it ran a request of this node.
+pub fn record_crash(
     node: &Arc<EntryNode>,
     request: &str,
     fingerprint: RequestFingerprint,
@@ -116,76 +116,77 @@
     is_trial: bool,
 ) {
     let now = node.now();
-    let note = node.suspects.book().record_crash(now, fingerprint, server, is_trial);
-    let ended = node.suspects.book().crash_count(fingerprint);
+    let report = node.suspects.tracker().record_crash(now, fingerprint, server, is_trial);
+    let crashes = node.suspects.tracker().crash_count(fingerprint);
     let fields: [(&str, &dyn std::fmt::Display); 5] = [
         ("request", &request),
         ("fingerprint", &fingerprint),
         ("server", &server.instance),
         ("trial", &is_trial),
-        ("ended", &ended),
+        ("ended", &crashes),
     ];
     logs::write(event::SERVER_ENDED, &fields);
-    node.metrics.server_ended();
-    let notes: Vec<CrashReport> = note.into_iter().collect();
-    log_standing(node, &notes, StrikeSource::Own);
-    node.suspects.publish(now, &notes);
+    node.metrics.record_server_crash();
+    let reports: Vec<CrashReport> = report.into_iter().collect();
+    log_blocked_contents(node, &reports, ReportSource::Own);
+    node.suspects.publish(now, &reports);
 }
 
-/// Takes note that service discovery lost a server, or lists a later start of it.
-pub fn server_gone(node: &Arc<EntryNode>, server: &ServerEntry) {
-    if server.is_draining || !node.suspects.book().has_unresolved() {
+/// Records that a server is gone from service discovery, or listed with a later start.
+pub fn record_server_gone(node: &Arc<EntryNode>, server: &ServerEntry) {
+    if server.is_draining || !node.suspects.tracker().has_unresolved() {
         return;
     }
     let now = node.now();
-    let notes = node.suspects.book().resolve_server_gone(now, server);
-    log_standing(node, &notes, StrikeSource::Own);
-    node.suspects.publish(now, &notes);
+    let reports = node.suspects.tracker().resolve_server_gone(now, server);
+    log_blocked_contents(node, &reports, ReportSource::Own);
+    node.suspects.publish(now, &reports);
 }
 
-/// Takes note that a server answered a request whole.
-pub fn answered(node: &EntryNode, ticket: &ServerTicket) {
-    ticket.settle();
-    let (now, server, fingerprint) = (node.now(), &ticket.server.instance, ticket.fingerprint);
-    let void = node.suspects.book().record_answer(now, fingerprint);
-    if void.is_empty() {
+/// Records that a server sent a complete response, which may clear its content.
+pub fn record_response(node: &EntryNode, guard: &InFlightGuard) {
+    guard.record_outcome();
+    let (now, server, fingerprint) = (node.now(), &guard.server.instance, guard.fingerprint);
+    let cleared = node.suspects.tracker().record_answer(now, fingerprint);
+    if cleared.is_empty() {
         return;
     }
     let fields: [(&str, &dyn std::fmt::Display); 3] =
-        [("fingerprint", &fingerprint), ("server", server), ("strikes", &void.len())];
+        [("fingerprint", &fingerprint), ("server", server), ("strikes", &cleared.len())];
     logs::write(event::SUSPECT_CLEARED, &fields);
-    node.suspects.publish(now, &void);
+    node.suspects.publish(now, &cleared);
 }
 
-/// Logs the contents that strikes which are news here turn into held ones, once they count.
-fn log_standing(node: &Arc<EntryNode>, news: &[CrashReport], source: StrikeSource) {
-    let mut contents: Vec<RequestFingerprint> = news.iter().map(|note| note.fingerprint).collect();
+/// Logs which contents new crash reports cause to be blocked, when the reports take effect.
+fn log_blocked_contents(node: &Arc<EntryNode>, new_reports: &[CrashReport], source: ReportSource) {
+    let mut contents: Vec<RequestFingerprint> = new_reports.iter().map(|report| report.fingerprint).collect();
     contents.dedup();
-    // With fewer there is no hold to wait for.
-    contents.retain(|fingerprint| is_repeated(node, *fingerprint));
+    // A single crash does not lead to a block.
+    contents.retain(|fingerprint| has_repeated_crashes(node, *fingerprint));
     for fingerprint in contents {
-        let age_ms = news.iter().filter(|note| note.fingerprint == fingerprint).map(|note| note.age_ms).min();
-        tokio::spawn(log_if_held(node.clone(), fingerprint, source, age_ms.unwrap_or_default()));
+        let age_ms =
+            new_reports.iter().filter(|report| report.fingerprint == fingerprint).map(|report| report.age_ms).min();
+        tokio::spawn(log_if_blocked(node.clone(), fingerprint, source, age_ms.unwrap_or_default()));
     }
 }
 
-async fn log_if_held(node: Arc<EntryNode>, fingerprint: RequestFingerprint, source: StrikeSource, age_ms: u64) {
-    let settles_in = node.suspects.book().time_to_settle(node.now(), fingerprint);
-    clock::sleep(settles_in).await;
-    if held_for(&node, fingerprint).is_some() {
-        let ended = node.suspects.book().crash_count(fingerprint);
+async fn log_if_blocked(node: Arc<EntryNode>, fingerprint: RequestFingerprint, source: ReportSource, age_ms: u64) {
+    let time_to_settle = node.suspects.tracker().time_to_settle(node.now(), fingerprint);
+    clock::sleep(time_to_settle).await;
+    if blocked_for(&node, fingerprint).is_some() {
+        let crashes = node.suspects.tracker().crash_count(fingerprint);
         let fields: [(&str, &dyn std::fmt::Display); 4] =
-            [("fingerprint", &fingerprint), ("ended", &ended), ("source", &source.as_str()), ("age_ms", &age_ms)];
+            [("fingerprint", &fingerprint), ("ended", &crashes), ("source", &source.as_str()), ("age_ms", &age_ms)];
         logs::write(event::CONTENT_HELD, &fields);
     }
 }
 
-/// Takes over strikes; returns those that are news here.
-fn join(node: &Arc<EntryNode>, notes: &[CrashReport], source: StrikeSource) -> Vec<CrashReport> {
+/// Merges crash reports and returns those that are new to this node.
+fn merge(node: &Arc<EntryNode>, reports: &[CrashReport], source: ReportSource) -> Vec<CrashReport> {
     let now = node.now();
-    let mut book = node.suspects.book();
-    let news: Vec<CrashReport> = notes.iter().filter(|note| book.merge(now, note)).copied().collect();
-    drop(book);
-    log_standing(node, &news, source);
-    news
+    let mut tracker = node.suspects.tracker();
+    let new_reports: Vec<CrashReport> = reports.iter().filter(|report| tracker.merge(now, report)).copied().collect();
+    drop(tracker);
+    log_blocked_contents(node, &new_reports, source);
+    new_reports
 }
--- a/crates/trestlerackd/src/entry/suspects/trials.rs
+++ b/crates/trestlerackd/src/entry/suspects/trials.rs
@@ -1,47 +1,46 @@
-//! Has a suspect tried on a server without suspects of other nodes beside it.
+//! Trials of suspect contents: each runs at a server without suspects of other nodes.
 //!
-//! Each server's trials are kept by one node, in memory: the first by rendezvous hash. A node that has
-//! just started, or does not answer, keeps none, and the suspect is then alone only as far as its own
-//! node knows.
+//! The trials of a server are granted by one node, which is chosen by rendezvous hash and keeps them in memory. If
+//! that node has just started or does not respond, the suspect is only separated from suspects of its own node.
 
 use super::SuspectState;
-use crate::entry::in_flight::ServerTicket;
+use crate::entry::in_flight::InFlightGuard;
 use crate::entry::node::EntryNode;
 use std::sync::Arc;
 use trestlerack::Name;
 use trestlerack::hash::{hash_parts, rendezvous_weight};
 use trestlerack::request::RequestFingerprint;
 
-/// Asks that the suspect of a ticket has its server for itself. Returns whether it may be sent there: one
-/// under which several servers ended may not be sent where another one is tried.
-pub async fn ask_trial(node: &Arc<EntryNode>, ticket: &ServerTicket) -> bool {
-    let standing = node.suspects.book().state(node.now(), ticket.fingerprint);
-    let SuspectState::Suspected(ended) = standing else { return true };
-    // A run on an engine lasts longer than a trial, and a step has many: they would wait for each other.
-    if ended == 1 || !ticket.server.models.is_empty() {
+/// Requests the trial of a suspect content at the server of its guard. Returns whether the request may be sent there:
+/// a content with several crashes may not be sent to a server that has the trial of another one.
+pub async fn request_trial(node: &Arc<EntryNode>, guard: &InFlightGuard) -> bool {
+    let state = node.suspects.tracker().state(node.now(), guard.fingerprint);
+    let SuspectState::Suspected(crashes) = state else { return true };
+    // Runs on engines last longer than a trial, and a step has many of them, which would wait for each other.
+    if crashes == 1 || !guard.server.models.is_empty() {
         return true;
     }
-    let server = &ticket.server.instance;
-    let is_granted = match keeper(node, server) {
-        None => Some(grant_trial(node, server, ticket.fingerprint)),
-        Some(address) => node.peers.ask_trial(&address, server, ticket.fingerprint).await,
+    let server = &guard.server.instance;
+    let is_granted = match trial_owner(node, server) {
+        None => Some(grant_trial(node, server, guard.fingerprint)),
+        Some(address) => node.peers.ask_trial(&address, server, guard.fingerprint).await,
     };
     if is_granted == Some(false) {
-        ticket.share_trial();
+        guard.mark_shared();
     }
     is_granted != Some(false)
 }
 
-/// Answers a node that asks for a server's trial.
+/// Decides whether a content gets the trial at a server, for any node.
 pub fn grant_trial(node: &EntryNode, server: &Name, fingerprint: RequestFingerprint) -> bool {
-    node.suspects.trials().grant(node.now(), server, fingerprint)
+    node.suspects.trial_grants().grant(node.now(), server, fingerprint)
 }
 
-/// Returns the address of the node that keeps a server's trials; `None` if that is this node.
-fn keeper(node: &EntryNode, server: &Name) -> Option<Name> {
+/// Returns the address of the node that grants a server's trials; `None` if that is this node.
+fn trial_owner(node: &EntryNode, server: &Name) -> Option<Name> {
     let key = hash_parts(&[server]);
     let names = node.peers.names();
     let own = &node.settings.name;
-    let keeper = names.iter().max_by_key(|name| rendezvous_weight(key, name)).filter(|name| *name != own)?;
-    node.peers.get(keeper).map(|row| row.address)
+    let trial_owner = names.iter().max_by_key(|name| rendezvous_weight(key, name)).filter(|name| *name != own)?;
+    node.peers.get(trial_owner).map(|row| row.address)
 }
--- a/crates/trestlerackd/src/entry/weights.rs
+++ b/crates/trestlerackd/src/entry/weights.rs
@@ -108,7 +108,7 @@
                 None => {
                     let (node, service) = (node.clone(), service.name.clone());
                     running.tasks.spawn(async move {
-                        let report = engine_calls::ask_report(&node, &engine).await;
+                        let report = engine_calls::poll_engine(&node, &engine).await;
                         TaskEnd::Asked(service, order, report)
                     });
                 }
@@ -242,7 +242,7 @@
 ) {
     if let Some(service_plan) = plans.get_mut(&planned.service) {
         service_plan.plan.record_outcome(node.now(), &planned.order, outcome, planned.orders_before);
-        node.metrics.order(outcome);
+        node.metrics.record_order(outcome);
     }
 }
 
--- a/crates/trestlerackd/tests/entry/customers.rs
+++ b/crates/trestlerackd/tests/entry/customers.rs
@@ -1,4 +1,5 @@
-//! Customers by key: who is served, what backend servers are told, and that no key goes further.
+//! Customers and their API keys: which calls are served, which customer backend servers get, and that no key is
+//! forwarded, stored or logged.
 
 use super::support::*;
 use serde_json::{Value, json};
@@ -14,7 +15,7 @@
         { "name": "pension", "api_keys": [OTHER_KEY] }])
 }
 
-/// Starts a platform whose callers need keys, and a node with its log in a file.
+/// Starts a platform whose callers need API keys, and a node that logs to a file.
 fn start(name: &str) -> (Platform, EntryDaemon, PathBuf) {
     let platform = Platform::start();
     platform.configure(2, customers());
@@ -35,18 +36,18 @@
 }
 
 #[test]
-fn servers_are_told_the_customer_and_never_its_key() {
+fn servers_get_the_customer_and_never_its_key() {
     let (platform, daemon, log) = start("told");
     for (id, key, expected) in
         [("r1", KEY_ONE, 200), ("r2", KEY_TWO, 200), ("r3", OTHER_KEY, 200), ("r4", "unknown", 401), ("r5", "", 401)]
     {
         assert_eq!(status(&daemon, "POST", "/safe/x", id, key, "x"), expected, "{id}");
     }
-    assert_eq!(status(&daemon, "POST", "/untimed/x", "r6", "", "x"), 200, "the route is open to all");
+    assert_eq!(status(&daemon, "POST", "/untimed/x", "r6", "", "x"), 200, "the route is public");
     let headers = platform.plain.headers.lock().unwrap().clone();
-    let told = |id: &str| headers[id].get("tenant").cloned();
-    assert_eq!((told("r1"), told("r2")), (Some("wash".into()), Some("wash".into())));
-    assert_eq!((told("r3"), told("r6")), (Some("pension".into()), None));
+    let tenant = |id: &str| headers[id].get("tenant").cloned();
+    assert_eq!((tenant("r1"), tenant("r2")), (Some("wash".into()), Some("wash".into())));
+    assert_eq!((tenant("r3"), tenant("r6")), (Some("pension".into()), None));
     assert!(!headers.contains_key("r4") && !headers.contains_key("r5"));
     assert!(headers.values().all(|headers| !headers.contains_key("authorization")));
     std::fs::remove_file(log).unwrap();
@@ -59,19 +60,19 @@
         job_body_of("job1", 4, 1).replace(r#""Model":"m""#, &format!(r#""Model":"m","Authorization":"{KEY_ONE}""#));
     let submit = |key: &str| status(&daemon, "POST", "/jobs/job1", "job1", key, &body);
     assert_eq!((submit(""), submit("unknown"), submit(KEY_ONE), submit(KEY_TWO)), (401, 401, 202, 202));
-    assert_eq!(submit(OTHER_KEY), 409, "another customer has a job of this id");
-    // The key that brought the job is taken away, and the job goes on.
+    assert_eq!(submit(OTHER_KEY), 409, "another customer has a job with this id");
+    // The key with which the job was submitted is removed, and the job continues.
     platform.configure(
         3,
         json!([{ "name": "wash", "api_keys": [KEY_TWO] }, { "name": "pension", "api_keys": [OTHER_KEY] }]),
     );
-    eventually("the key is refused", || status(&daemon, "POST", "/safe/x", "r1", KEY_ONE, "x") == 401);
+    eventually("the removed key is rejected", || status(&daemon, "POST", "/safe/x", "r1", KEY_ONE, "x") == 401);
     let path = "/trestlerack/lots/job1?after=0";
-    eventually("the job is whole", || {
+    eventually("the job is complete", || {
         let bearer = format!("Bearer {KEY_TWO}");
         let headers = [("request-id", "r2"), ("wait-ms", "500"), ("authorization", bearer.as_str())];
-        let answer = call(&daemon.client, "GET", path, &headers, "").unwrap();
-        answer.status == 200 && answer.json()["next"] == 4
+        let response = call(&daemon.client, "GET", path, &headers, "").unwrap();
+        response.status == 200 && response.json()["next"] == 4
     });
     let item = "/trestlerack/items/job1?id=job1-item-0";
     for (method, path, body) in [("GET", path, ""), ("GET", item, ""), ("DELETE", "/trestlerack/lots/job1", "")] {
@@ -88,26 +89,26 @@
         assert!(!headers.contains_key("authorization"));
     }
     for key in [KEY_ONE, KEY_TWO, OTHER_KEY] {
-        assert!(!platform.store.holds(key), "a row holds {key}");
-        assert!(!std::fs::read_to_string(&log).unwrap().contains(key), "the log holds {key}");
+        assert!(!platform.store.holds(key), "a row contains {key}");
+        assert!(!std::fs::read_to_string(&log).unwrap().contains(key), "the log contains {key}");
     }
     std::fs::remove_file(log).unwrap();
 }
 
-/// The watch brings no news, so only a read can tell of a new key. A storm of bad keys must not make
-/// a read for each.
+/// The watch delivers no changes, so only a read of the configuration can find a new key. Many bad keys must not
+/// cause a read each.
 #[test]
-fn a_key_that_the_node_does_not_know_yet_is_read_once_more() {
+fn an_unknown_key_refreshes_the_configuration_at_a_limited_rate() {
     let (platform, daemon, log) = start("late");
     platform.store.silence_watches(Some("op"));
     platform.configure(3, json!([{ "name": "wash", "api_keys": [LATE_KEY] }]));
     assert_eq!(status(&daemon, "POST", "/safe/x", "r1", LATE_KEY, "x"), 200);
-    let before = platform.store.reads("");
+    let reads_before = platform.store.reads("");
     let started = std::time::Instant::now();
     for number in 0..200 {
         assert_eq!(status(&daemon, "POST", "/safe/x", &format!("bad-{number}"), &format!("bad-{number}"), "x"), 401);
     }
-    let reads = platform.store.reads("") - before;
+    let reads = platform.store.reads("") - reads_before;
     assert!(reads <= 1 + started.elapsed().as_secs() as usize, "{reads} reads in {:?}", started.elapsed());
     std::fs::remove_file(log).unwrap();
 }
--- a/crates/trestlerackd/tests/entry/requests.rs
+++ b/crates/trestlerackd/tests/entry/requests.rs
@@ -1,4 +1,4 @@
-//! Plain requests and streams, and what a node does while it reloads or is cut off.
+//! Requests and streams that are forwarded to servers, also while a node reloads or cannot reach the store.
 
 use super::support::*;
 use std::net::TcpStream;
@@ -6,13 +6,13 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn requests_reach_their_service_unchanged_and_others_are_told_so() {
+fn requests_are_forwarded_unchanged_and_unroutable_ones_are_rejected() {
     let platform = Platform::start();
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
-    let answer = call(&daemon.client, "POST", "/safe/x?y=1", &[("request-id", "r1")], "the body").unwrap();
-    assert_eq!((answer.status, answer.body.as_str()), (200, "the body"));
-    assert_eq!(answer.headers["response-stamp"], "signed-r1");
-    assert_eq!(answer.headers["request-id"], "r1");
+    let response = call(&daemon.client, "POST", "/safe/x?y=1", &[("request-id", "r1")], "the body").unwrap();
+    assert_eq!((response.status, response.body.as_str()), (200, "the body"));
+    assert_eq!(response.headers["response-stamp"], "signed-r1");
+    assert_eq!(response.headers["request-id"], "r1");
     assert_eq!(call(&daemon.client, "GET", "/none/x", &[("request-id", "r2")], "").unwrap().status, 404);
     let large = "x".repeat(1_200_000);
     assert_eq!(call(&daemon.client, "POST", "/safe/x", &[("request-id", "r3")], &large).unwrap().status, 413);
@@ -20,36 +20,36 @@
 }
 
 #[test]
-fn an_answer_to_another_request_or_half_an_answer_is_never_passed_on() {
+fn misattributed_and_truncated_responses_are_never_forwarded() {
     let platform = Platform::start();
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
     platform.plain.foreign_answers.store(1, Ordering::SeqCst);
-    let answer = call(&daemon.client, "POST", "/safe/x", &[("request-id", "r1")], "one").unwrap();
-    assert_eq!((answer.status, answer.body.as_str()), (200, "one"), "it may run again and did");
-    assert_eq!(answer.headers["request-id"], "r1");
+    let response = call(&daemon.client, "POST", "/safe/x", &[("request-id", "r1")], "one").unwrap();
+    assert_eq!((response.status, response.body.as_str()), (200, "one"), "it may run again, so it was retried");
+    assert_eq!(response.headers["request-id"], "r1");
     assert_eq!(*platform.plain.runs.lock().unwrap(), ["r1", "r1"]);
     platform.plain.short_answers.store(1, Ordering::SeqCst);
-    let answer = call(&daemon.client, "POST", "/safe/x", &[("request-id", "r2")], "two").unwrap();
-    assert_eq!((answer.status, answer.body.as_str()), (200, "two"));
+    let response = call(&daemon.client, "POST", "/safe/x", &[("request-id", "r2")], "two").unwrap();
+    assert_eq!((response.status, response.body.as_str()), (200, "two"));
     platform.plain.short_answers.store(1, Ordering::SeqCst);
-    let answer = call(&daemon.client, "POST", "/once/x", &[("request-id", "r3")], "three").unwrap();
-    assert_eq!(answer.status, 502, "it may have run and must not run again");
+    let response = call(&daemon.client, "POST", "/once/x", &[("request-id", "r3")], "three").unwrap();
+    assert_eq!(response.status, 502, "it may have run and must not run again");
     let runs = platform.plain.runs.lock().unwrap();
     assert_eq!(runs.iter().filter(|id| *id == "r3").count(), 1);
 }
 
 /// A server that refuses a request did not run it, so it does not count against the attempts.
 #[test]
-fn refusals_leave_a_stream_its_attempts() {
+fn refusals_do_not_count_as_attempts_of_a_stream() {
     let platform = Platform::start_behind(4, |address| address.to_string());
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
     platform.engine.refusals.store(3, Ordering::SeqCst);
-    let whole = whole_text("s1", 1).join(",");
-    assert_eq!(read_stream(&daemon, "/streamed/x", "s1"), (whole, true));
+    let complete = whole_text("s1", 1).join(",");
+    assert_eq!(read_stream(&daemon, "/streamed/x", "s1"), (complete, true));
 }
 
 #[test]
-fn the_log_tells_by_what_a_server_was_chosen_and_that_a_client_left() {
+fn the_log_has_the_state_of_the_chosen_server_and_client_disconnects() {
     let platform = Platform::start();
     let log = std::env::temp_dir().join(format!("entry-log-{}.log", std::process::id()));
     let settings = DaemonSettings {
@@ -58,56 +58,56 @@
         ..DaemonSettings::default()
     };
     let daemon = EntryDaemon::start_with("a", &settings);
-    let lines_of = |event: &str, id: &str| -> Vec<String> {
+    let log_lines = |event: &str, id: &str| -> Vec<String> {
         let text = std::fs::read_to_string(&log).unwrap();
-        let is_it = |line: &&str| line.contains(event) && line.contains(&format!("={id} "));
-        text.lines().filter(is_it).map(str::to_owned).collect()
+        let is_match = |line: &&str| line.contains(event) && line.contains(&format!("={id} "));
+        text.lines().filter(is_match).map(str::to_owned).collect()
     };
     call(&daemon.client, "POST", "/safe/x", &[("request-id", "r1")], "x").unwrap();
-    eventually("the answer is logged", || !lines_of("TR2101", "r1").is_empty());
-    let chosen = lines_of("TR2103", "r1");
-    assert_eq!(chosen.len(), 1);
+    eventually("the response is logged", || !log_lines("TR2101", "r1").is_empty());
+    let choices = log_lines("TR2103", "r1");
+    assert_eq!(choices.len(), 1);
     for field in ["config=1", "server=i-plain-", "in_flight=0", "load_age_ms=none", "slowness=1.00", "zone=z"] {
-        assert!(chosen[0].contains(field), "{field} in {chosen:?}");
+        assert!(choices[0].contains(field), "{field} in {choices:?}");
     }
     platform.plain.hangs.store(true, Ordering::SeqCst);
     let mut stream = TcpStream::connect(&daemon.client).unwrap();
     send(&mut stream, "POST", "/once/x", &[("request-id", "r2")], "x").unwrap();
     eventually("the request runs", || platform.plain.runs.lock().unwrap().len() == 2);
     drop(stream);
-    eventually("that it was left is logged", || !lines_of("TR2104", "r2").is_empty());
-    assert!(lines_of("TR2101", "r2").is_empty());
+    eventually("the client disconnect is logged", || !log_lines("TR2104", "r2").is_empty());
+    assert!(log_lines("TR2101", "r2").is_empty());
     std::fs::remove_file(&log).unwrap();
 }
 
 #[test]
-fn an_answer_that_ends_with_its_connection_is_whole_unless_it_was_reset() {
+fn a_response_that_ends_with_its_connection_is_complete_unless_it_was_reset() {
     let platform = Platform::start();
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
     platform.plain.unframed_answers.store(1, Ordering::SeqCst);
-    let answer = call(&daemon.client, "POST", "/once/x", &[("request-id", "r1")], "unframed").unwrap();
-    assert_eq!((answer.status, answer.body.as_str()), (200, "unframed"));
+    let response = call(&daemon.client, "POST", "/once/x", &[("request-id", "r1")], "unframed").unwrap();
+    assert_eq!((response.status, response.body.as_str()), (200, "unframed"));
     platform.plain.reset_answers.store(1, Ordering::SeqCst);
-    let answer = call(&daemon.client, "POST", "/once/x", &[("request-id", "r2")], "reset").unwrap();
-    assert_eq!(answer.status, 502, "half an answer came: {}", answer.body);
+    let response = call(&daemon.client, "POST", "/once/x", &[("request-id", "r2")], "reset").unwrap();
+    assert_eq!(response.status, 502, "a truncated response was forwarded: {}", response.body);
 }
 
 #[test]
-fn a_client_that_leaves_ends_the_work_of_its_server() {
+fn a_client_disconnect_cancels_the_request_at_its_server() {
     let platform = Platform::start();
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
     platform.plain.hangs.store(true, Ordering::SeqCst);
     let mut stream = TcpStream::connect(&daemon.client).unwrap();
     send(&mut stream, "POST", "/once/x", &[("request-id", "r1")], "x").unwrap();
     eventually("the request runs", || !platform.plain.runs.lock().unwrap().is_empty());
-    let left_at = Instant::now();
+    let disconnected_at = Instant::now();
     drop(stream);
-    eventually("its server is left", || platform.plain.left.load(Ordering::SeqCst) == 1);
-    assert!(left_at.elapsed() < Duration::from_millis(500));
+    eventually("the request at the server is cancelled", || platform.plain.left.load(Ordering::SeqCst) == 1);
+    assert!(disconnected_at.elapsed() < Duration::from_millis(500));
 }
 
 #[test]
-fn a_hangup_reads_the_settings_again_and_ends_nothing() {
+fn sighup_reloads_the_settings_without_a_restart() {
     let platform = Platform::start();
     let mut daemon = EntryDaemon::start("a", &platform.store, &[]);
     daemon.signal("-HUP");
@@ -120,7 +120,7 @@
 fn a_node_that_cannot_reach_the_store_serves_through_a_peer() {
     let platform = Platform::start();
     let peer = EntryDaemon::start("a", &platform.store, &[]);
-    // Nothing listens there, so each direct call fails.
+    // Nothing listens at the address of its store, so each direct call fails.
     let cut_off = EntryDaemon::start_with(
         "b",
         &DaemonSettings { store: free_address(), seeds: vec![peer.peer.clone()], ..DaemonSettings::default() },
@@ -135,25 +135,25 @@
 }
 
 #[test]
-fn a_broken_stream_is_resumed_where_the_route_allows_it_and_else_breaks_too() {
+fn a_broken_stream_is_resumed_only_if_the_route_allows_it() {
     let platform = Platform::start();
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
-    let whole = |id: &str| whole_text(id, 1).join(",");
-    assert_eq!(read_stream(&daemon, "/streamed/x", "s1"), (whole("s1"), true));
+    let complete = |id: &str| whole_text(id, 1).join(",");
+    assert_eq!(read_stream(&daemon, "/streamed/x", "s1"), (complete("s1"), true));
     platform.engine.broken_streams.store(1, Ordering::SeqCst);
-    assert_eq!(read_stream(&daemon, "/resumed/x", "s2"), (whole("s2"), true));
+    assert_eq!(read_stream(&daemon, "/resumed/x", "s2"), (complete("s2"), true));
     assert_eq!(platform.engine.runs.lock().unwrap()[1..], ["s2@1", "s2@3"]);
     platform.engine.broken_streams.store(1, Ordering::SeqCst);
-    let (text, is_whole) = read_stream(&daemon, "/streamed/x", "s3");
-    assert!(!is_whole, "a break must not look like an end: {text}");
+    let (text, is_complete) = read_stream(&daemon, "/streamed/x", "s3");
+    assert!(!is_complete, "a broken stream must not look complete: {text}");
     let runs = platform.engine.runs.lock().unwrap();
     assert_eq!(runs.iter().filter(|run| run.starts_with("s3")).count(), 1, "it must not run again");
 }
 
-/// Rows of service discovery that no server writes: they name no server, also where one was named
-/// before, and the other servers go on.
+/// Invalid rows in service discovery, which no server writes. They add no server and remove one that had the same key
+/// before, and the other servers stay in use.
 #[test]
-fn an_entry_that_cannot_be_read_names_no_server() {
+fn invalid_service_discovery_rows_add_no_servers() {
     let platform = Platform::start();
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
     platform.store.put("servers", "i-plain-0", &serde_json::json!({ "service": "plain", "addr": 5 }));
@@ -163,22 +163,22 @@
         let id = format!("r{number}");
         assert_eq!(call(&daemon.client, "POST", "/safe/x", &[("request-id", &id)], "x").unwrap().status, 200);
     }
-    let asked: Vec<String> =
+    let instances: Vec<String> =
         platform.plain.headers.lock().unwrap().values().map(|headers| headers["expect-instance"].clone()).collect();
-    assert_eq!(asked, vec!["i-plain-1"; 6]);
+    assert_eq!(instances, vec!["i-plain-1"; 6]);
 }
 
-/// The watch brings no news of a new route. A client that is told that it does not exist would not
-/// come again, so the node looks once more; while it cannot, it does not say so.
+/// The watch does not deliver a new route. A client would not retry after a 404, so the node reads the configuration
+/// again before it responds with one, and sends no 404 while it cannot read.
 #[test]
-fn a_route_that_the_node_does_not_know_yet_is_looked_up_once_more() {
+fn an_unknown_route_is_looked_up_in_a_fresh_configuration() {
     let platform = Platform::start();
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
     let status = |path: &str, id: &str| call(&daemon.client, "POST", path, &[("request-id", id)], "x").unwrap().status;
     assert_eq!(status("/late/x", "r1"), 404);
     platform.store.silence_watches(Some("op"));
     platform.add_route(2, "/late/");
-    // The node reads once a second at most.
+    // The node refreshes the configuration once a second at most.
     std::thread::sleep(Duration::from_millis(1_100));
     assert_eq!((status("/late/x", "r2"), status("/none/x", "r3")), (200, 404));
 }
--- a/crates/trestlerackd/tests/entry/server_health.rs
+++ b/crates/trestlerackd/tests/entry/server_health.rs
@@ -1,22 +1,22 @@
-//! Plain servers that turn slow, fail or return, before nodes that share what they learn.
+//! Servers that become slow, fail or recover, and nodes that share their observations of them.
 
 use super::support::*;
 use serde_json::{Value, json};
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// Work of a plain server that is well, in milliseconds.
-const WORK_MS: usize = 20;
+/// Duration of a call at a healthy server, in milliseconds.
+const HEALTHY_WORK_MS: usize = 20;
 
-/// A platform of four plain servers that state their load.
-fn stating_platform() -> Platform {
+/// Starts a platform with four servers that report their load.
+fn platform_with_load_reports() -> Platform {
     let platform = Platform::start_counts(4, 1);
     platform.plain.states_slowness.store(true, Ordering::SeqCst);
-    platform.plain.work_ms.store(WORK_MS, Ordering::SeqCst);
+    platform.plain.work_ms.store(HEALTHY_WORK_MS, Ordering::SeqCst);
     platform
 }
 
-/// A daemon whose metrics address operators can ask.
+/// Starts a daemon with a metrics address, and returns both.
 fn start_daemon(name: &str, platform: &Platform, seeds: &[&str]) -> (EntryDaemon, String) {
     let metrics = free_address();
     let settings = DaemonSettings {
@@ -28,91 +28,91 @@
     (EntryDaemon::start_with(name, &settings), metrics)
 }
 
-/// Makes calls one after the other and returns how long the longest took. All are answered well.
+/// Makes calls one after another, all of which have to succeed, and returns the longest duration.
 fn make_calls(daemon: &EntryDaemon, label: &str, count: usize) -> Duration {
     let make_call = |number: usize| {
         let started = Instant::now();
         let id = format!("{label}-{number}");
-        let answer = call(&daemon.client, "GET", "/safe/x", &[("request-id", &id)], "").unwrap();
-        assert_eq!(answer.status, 200, "{id}");
+        let response = call(&daemon.client, "GET", "/safe/x", &[("request-id", &id)], "").unwrap();
+        assert_eq!(response.status, 200, "{id}");
         started.elapsed()
     };
     (0..count).map(make_call).max().unwrap()
 }
 
-/// Returns how many requests each server ran since this was asked last.
+/// Returns how many requests each server ran since the last call of this function.
 fn take_runs(platform: &Platform) -> Vec<usize> {
     let runs = std::mem::take(&mut *platform.plain.runs_at.lock().unwrap());
     (0..4).map(|server| runs.get(&server).copied().unwrap_or(0)).collect()
 }
 
-/// Changes the server that ran most and returns its number.
-fn change_busiest(platform: &Platform, mode: ServerMode) -> usize {
+/// Changes the mode of the server that ran most requests, and returns its number.
+fn set_busiest_mode(platform: &Platform, mode: ServerMode) -> usize {
     let runs = take_runs(platform);
     let busiest = (0..4).max_by_key(|server| runs[*server]).unwrap();
     *platform.plain.uneven.lock().unwrap() = Some((busiest, mode));
     busiest
 }
 
-fn server_line(metrics: &str, server: usize) -> Value {
-    let answer = call(metrics, "GET", "/v1/servers", &[], "").unwrap();
-    let lines: Value = serde_json::from_str(&answer.body).unwrap();
+fn server_status(metrics: &str, server: usize) -> Value {
+    let response = call(metrics, "GET", "/v1/servers", &[], "").unwrap();
+    let statuses: Value = serde_json::from_str(&response.body).unwrap();
     let name = format!("i-plain-{server}");
-    lines.as_array().unwrap().iter().find(|line| line["server"] == name.as_str()).cloned().unwrap_or_default()
+    statuses.as_array().unwrap().iter().find(|status| status["server"] == name.as_str()).cloned().unwrap_or_default()
 }
 
 #[test]
-fn a_server_that_turns_slow_is_left_and_used_again_once_it_is_well() {
-    let platform = stating_platform();
+fn a_slow_server_is_avoided_until_it_recovers() {
+    let platform = platform_with_load_reports();
     let (daemon, metrics) = start_daemon("a", &platform, &[]);
     make_calls(&daemon, "warm", 60);
-    let slow = change_busiest(&platform, ServerMode::Slow(900));
+    let slow = set_busiest_mode(&platform, ServerMode::Slow(900));
     let longest = make_calls(&daemon, "slow", 40);
     let runs = take_runs(&platform);
-    assert!(longest < Duration::from_millis(500), "a second server answered before the first: {longest:?}");
+    assert!(longest < Duration::from_millis(500), "a second server responded before the slow one: {longest:?}");
     assert!(runs[slow] <= 4, "{runs:?}, and {slow} is slow");
-    assert_ne!(server_line(&metrics, slow)["standing"], "well");
+    assert_ne!(server_status(&metrics, slow)["standing"], "well");
     let page = call(&metrics, "GET", "/metrics", &[], "").unwrap().body;
     let gauge = format!("trestlerack_entry_server_aside{{server=\"i-plain-{slow}\",service=\"plain\"}} 1");
     assert!(page.contains(&gauge), "{page}");
     *platform.plain.uneven.lock().unwrap() = None;
     let limit = Instant::now() + Duration::from_secs(20);
-    while server_line(&metrics, slow)["standing"] != "well" {
-        assert!(Instant::now() < limit, "{}", server_line(&metrics, slow));
+    while server_status(&metrics, slow)["standing"] != "well" {
+        assert!(Instant::now() < limit, "{}", server_status(&metrics, slow));
         make_calls(&daemon, &format!("back-{:?}", Instant::now()), 20);
     }
     take_runs(&platform);
     make_calls(&daemon, "after", 100);
     let runs = take_runs(&platform);
-    assert!(runs[slow] > 2, "more than a trickle: {runs:?}");
+    assert!(runs[slow] > 2, "more than probes: {runs:?}");
 }
 
 #[test]
-fn a_server_that_answers_errors_is_left_and_its_callers_are_served() {
-    let platform = stating_platform();
+fn a_server_that_responds_with_errors_is_avoided_and_calls_succeed() {
+    let platform = platform_with_load_reports();
     let (daemon, metrics) = start_daemon("a", &platform, &[]);
     make_calls(&daemon, "warm", 60);
-    let failing = change_busiest(&platform, ServerMode::Failing);
+    let failing = set_busiest_mode(&platform, ServerMode::Failing);
     make_calls(&daemon, "errors", 100);
     let runs = take_runs(&platform);
-    assert!(runs[failing] <= 8, "{runs:?}, and {failing} answers errors");
-    assert_eq!(server_line(&metrics, failing)["standing"], "trickle");
+    assert!(runs[failing] <= 8, "{runs:?}, and {failing} responds with errors");
+    assert_eq!(server_status(&metrics, failing)["standing"], "trickle");
 }
 
-/// The peer is told before it has made a call, and a node that starts then asks.
+/// A peer gets the observations before it calls the slow server, and a node that starts later pulls them.
 #[test]
-fn what_one_node_learns_its_peers_and_those_that_start_know() {
-    let platform = stating_platform();
+fn server_observations_reach_peers_and_new_nodes() {
+    let platform = platform_with_load_reports();
     let (first, _) = start_daemon("a", &platform, &[]);
     let (peer, peer_metrics) = start_daemon("b", &platform, &[&first.peer]);
     make_calls(&peer, "peer-warm", 4);
     make_calls(&first, "warm", 60);
-    let slow = change_busiest(&platform, ServerMode::Slow(900));
+    let slow = set_busiest_mode(&platform, ServerMode::Slow(900));
     make_calls(&first, "slow", 40);
-    eventually("the peer is told", || server_line(&peer_metrics, slow)["told_by"] == "a");
+    eventually("the peer has the observation", || server_status(&peer_metrics, slow)["told_by"] == "a");
     let (fresh, fresh_metrics) = start_daemon("c", &platform, &[&first.peer, &peer.peer]);
     make_calls(&fresh, "ask", 1);
-    eventually("the node that starts is told", || !server_line(&fresh_metrics, slow)["told_by"].is_null());
+    eventually("the new node has the observation", || !server_status(&fresh_metrics, slow)["told_by"].is_null());
     take_runs(&platform);
     make_calls(&peer, "peer", 20);
     make_calls(&fresh, "fresh", 20);
@@ -120,10 +120,10 @@
     assert!(runs[slow] <= 2, "{runs:?}, and {slow} is slow");
 }
 
-/// A call is run by no more servers than its route allows, also where all are slow.
+/// A call is run by no more servers than its route allows, even if all are slow.
 #[test]
-fn second_attempts_count_as_attempts() {
-    let platform = stating_platform();
+fn hedged_attempts_count_towards_the_limit_of_attempts() {
+    let platform = platform_with_load_reports();
     let (daemon, _) = start_daemon("a", &platform, &[]);
     make_calls(&daemon, "warm", 60);
     platform.plain.work_ms.store(1_200, Ordering::SeqCst);
@@ -136,28 +136,30 @@
     }
 }
 
-/// Servers that state no slowness are asked one after the other, as before.
+/// Servers that report no slowness are tried one after another.
 #[test]
-fn without_stated_slowness_no_second_server_is_asked_early() {
-    let platform = stating_platform();
+fn servers_that_report_no_slowness_are_not_hedged() {
+    let platform = platform_with_load_reports();
     platform.plain.states_slowness.store(false, Ordering::SeqCst);
     let (daemon, metrics) = start_daemon("a", &platform, &[]);
     make_calls(&daemon, "warm", 20);
-    change_busiest(&platform, ServerMode::Slow(250));
+    set_busiest_mode(&platform, ServerMode::Slow(250));
     make_calls(&daemon, "slow", 10);
     assert_eq!(take_runs(&platform).iter().sum::<usize>(), 10, "each ran once");
     assert_eq!(call(&metrics, "GET", "/v1/servers", &[], "").unwrap().body, "[]");
 }
 
 #[test]
-fn the_first_whole_answer_wins_and_the_other_connection_is_closed() {
-    let platform = stating_platform();
+fn the_first_complete_response_wins_and_the_other_connection_is_closed() {
+    let platform = platform_with_load_reports();
     let (daemon, _) = start_daemon("a", &platform, &[]);
     make_calls(&daemon, "warm", 20);
     platform.plain.silent_answers.store(1, Ordering::SeqCst);
     let longest = make_calls(&daemon, "silent", 1);
     assert!(longest < Duration::from_millis(400), "{longest:?}");
-    eventually("the silent server is left", || platform.plain.left.load(Ordering::SeqCst) == 1);
+    eventually("the request at the unresponsive server is cancelled", || {
+        platform.plain.left.load(Ordering::SeqCst) == 1
+    });
     let runs = platform.plain.runs.lock().unwrap();
     assert_eq!(runs.iter().filter(|id| *id == "silent-0").count(), 2);
 }
--- a/crates/trestlerackd/tests/entry/shares.rs
+++ b/crates/trestlerackd/tests/entry/shares.rs
@@ -1,36 +1,36 @@
-//! Shares of customers over several nodes: one that floods all of them takes from nobody.
+//! Fair shares of customers over several nodes: a customer that floods all nodes does not affect others.
 
 use super::support::*;
 use serde_json::json;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// Callers of the large customer at each node, more than the servers have places.
-const FLOOD: usize = 16;
+/// Callers of the large customer at each node, more than the servers have slots.
+const FLOOD_CALLERS: usize = 16;
 
-/// Time in which the nodes find out who asks for most.
-const SETTLING: Duration = Duration::from_secs(4);
+/// Time in which the nodes find out which customer requests most.
+const SETTLE_TIME: Duration = Duration::from_secs(4);
 
-/// Calls of the small customer, one after the other.
+/// Calls of the small customer, one after another.
 const SMALL_CALLS: usize = 40;
 
 fn bearer(key: &str) -> String {
     format!("Bearer {key}")
 }
 
-/// Calls over and over until told to stop; counts answers and refusals.
-fn flood(client: &str, number: usize, is_over: &AtomicBool, served: &AtomicUsize, refused: &AtomicUsize) {
+/// Makes calls in a loop until `is_stopped`, and counts the served and the refused ones.
+fn flood(client: &str, number: usize, is_stopped: &AtomicBool, served: &AtomicUsize, refused: &AtomicUsize) {
     let key = bearer("key-large");
     for round in 0.. {
-        if is_over.load(Ordering::SeqCst) {
+        if is_stopped.load(Ordering::SeqCst) {
             return;
         }
         let id = format!("large-{number}-{round}");
         let headers = [("request-id", id.as_str()), ("authorization", key.as_str())];
         match call(client, "POST", "/safe/x", &headers, "x") {
-            Some(answer) if answer.status == 200 => served.fetch_add(1, Ordering::SeqCst),
-            Some(answer) => {
-                assert!(answer.headers.contains_key("retry-after"), "{answer:?}");
+            Some(response) if response.status == 200 => served.fetch_add(1, Ordering::SeqCst),
+            Some(response) => {
+                assert!(response.headers.contains_key("retry-after"), "{response:?}");
                 refused.fetch_add(1, Ordering::SeqCst)
             }
             None => continue,
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_customer_that_floods_two_nodes_takes_from_nobody() {
+fn a_customer_that_floods_two_nodes_does_not_reduce_the_share_of_others() {
     let platform = Platform::start();
     platform.configure(
         2,
@@ -60,40 +60,40 @@
     let first = EntryDaemon::start_with("a", &settings);
     let seeds = vec![first.peer.clone()];
     let second = EntryDaemon::start_with("b", &DaemonSettings { seeds, log: None, ..settings });
-    let (is_over, served, refused) = (AtomicBool::new(false), AtomicUsize::new(0), AtomicUsize::new(0));
+    let (is_stopped, served, refused) = (AtomicBool::new(false), AtomicUsize::new(0), AtomicUsize::new(0));
     std::thread::scope(|scope| {
-        for number in 0..2 * FLOOD {
+        for number in 0..2 * FLOOD_CALLERS {
             let client = if number % 2 == 0 { &first.client } else { &second.client };
-            let (is_over, served, refused) = (&is_over, &served, &refused);
-            scope.spawn(move || flood(client, number, is_over, served, refused));
+            let (is_stopped, served, refused) = (&is_stopped, &served, &refused);
+            scope.spawn(move || flood(client, number, is_stopped, served, refused));
         }
         let key = bearer("key-small");
-        let ask = |round: usize| {
+        let make_small_call = |round: usize| {
             let client = if round.is_multiple_of(2) { &first.client } else { &second.client };
             let id = format!("small-{round}");
             let headers = [("request-id", id.as_str()), ("authorization", key.as_str())];
-            // Callers return once, as they are told.
+            // Callers retry once, after the time in the response.
             (0..2).any(|_| {
-                let answer = call(client, "POST", "/safe/x", &headers, "x").unwrap();
-                let returns = answer.headers.get("retry-after").and_then(|text| text.parse::<f64>().ok());
-                std::thread::sleep(Duration::from_secs_f64(returns.unwrap_or_default()));
-                answer.status == 200
+                let response = call(client, "POST", "/safe/x", &headers, "x").unwrap();
+                let retry_after = response.headers.get("retry-after").and_then(|text| text.parse::<f64>().ok());
+                std::thread::sleep(Duration::from_secs_f64(retry_after.unwrap_or_default()));
+                response.status == 200
             })
         };
-        // The adder needs two customers to divide among.
-        let settled = Instant::now() + SETTLING;
+        // The aggregator computes shares only if at least two customers have usage.
+        let settled_at = Instant::now() + SETTLE_TIME;
         let mut round = 0;
-        while Instant::now() < settled {
+        while Instant::now() < settled_at {
             round += 1;
-            ask(round);
+            make_small_call(round);
             std::thread::sleep(Duration::from_millis(50));
         }
         let small = (0..SMALL_CALLS).filter(|call| {
             std::thread::sleep(Duration::from_millis(50));
-            ask(1_000 + call)
+            make_small_call(1_000 + call)
         });
         let small = small.count();
-        is_over.store(true, Ordering::SeqCst);
+        is_stopped.store(true, Ordering::SeqCst);
         println!(
             "{small} of {SMALL_CALLS}, large {} refused {}",
             served.load(Ordering::SeqCst),
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn without_customers_nothing_is_told_or_refused_for_a_share() {
+fn without_customers_no_usage_is_reported_and_no_call_is_over_share() {
     let platform = Platform::start();
     platform.plain.work_ms.store(30, Ordering::SeqCst);
     platform.plain.limit_at_once(2);
@@ -122,14 +122,14 @@
         ..DaemonSettings::default()
     };
     let daemon = EntryDaemon::start_with("a", &settings);
-    let (is_over, served, refused) = (AtomicBool::new(false), AtomicUsize::new(0), AtomicUsize::new(0));
+    let (is_stopped, served, refused) = (AtomicBool::new(false), AtomicUsize::new(0), AtomicUsize::new(0));
     std::thread::scope(|scope| {
-        for number in 0..FLOOD {
-            let (client, is_over, served, refused) = (&daemon.client, &is_over, &served, &refused);
-            scope.spawn(move || flood(client, number, is_over, served, refused));
+        for number in 0..FLOOD_CALLERS {
+            let (client, is_stopped, served, refused) = (&daemon.client, &is_stopped, &served, &refused);
+            scope.spawn(move || flood(client, number, is_stopped, served, refused));
         }
         std::thread::sleep(Duration::from_secs(2));
-        is_over.store(true, Ordering::SeqCst);
+        is_stopped.store(true, Ordering::SeqCst);
     });
     assert!(served.load(Ordering::SeqCst) > 0 && refused.load(Ordering::SeqCst) > 0);
     let log_text = std::fs::read_to_string(&log).unwrap();
--- a/crates/trestlerackd/tests/entry/store_rate.rs
+++ b/crates/trestlerackd/tests/entry/store_rate.rs
@@ -37,7 +37,7 @@
 fn a_refused_node_goes_on_through_the_peer_that_relayed_before() {
     let platform = Platform::start();
     let served = EntryDaemon::start("a", &platform.store, &[]);
-    let refusing = refusing_store().to_string();
+    let refusing = rate_limiting_store().to_string();
     let start = |name: &str| {
         let seeds = vec![served.peer.clone()];
         EntryDaemon::start_with(name, &DaemonSettings { store: refusing.clone(), seeds, ..DaemonSettings::default() })
@@ -58,7 +58,7 @@
 fn a_node_that_alone_is_refused_with_the_status_of_a_rate_serves_on_through_peers() {
     let platform = Platform::start();
     let other = EntryDaemon::start("a", &platform.store, &[]);
-    let refusing = refusing_store();
+    let refusing = rate_limiting_store();
     let settings =
         DaemonSettings { store: refusing.to_string(), seeds: vec![other.peer.clone()], ..DaemonSettings::default() };
     let refused = EntryDaemon::start_with("b", &settings);
--- a/crates/trestlerackd/tests/entry/support/crashing.rs
+++ b/crates/trestlerackd/tests/entry/support/crashing.rs
@@ -1,7 +1,7 @@
 //! Backend servers that end when they run certain requests, and come back as new instances.
 
 use super::platform::{EVENTS, event_data, register};
-use super::server::{Received, read_request, reply};
+use super::server::{ReceivedRequest, read_request, reply};
 use super::store::StandinStore;
 use serde_json::json;
 use std::io::{BufReader, Write};
@@ -124,7 +124,7 @@
         }
     }
 
-    fn answer(&self, request: &Received, stream: &mut TcpStream, name: &str, is_over: &AtomicBool) -> bool {
+    fn answer(&self, request: &ReceivedRequest, stream: &mut TcpStream, name: &str, is_over: &AtomicBool) -> bool {
         match &*request.path {
             "/trestlerack/report" => {
                 let report = json!({ "models": [{ "name": "m", "version": 1 }], "busy": false, "seq": 0 });
@@ -158,7 +158,7 @@
     }
 
     /// Sends the events after the one that the request names; a fatal request gets only the first ones.
-    fn stream_events(&self, request: &Received, stream: &mut TcpStream, id: &str, is_fatal: bool) -> bool {
+    fn stream_events(&self, request: &ReceivedRequest, stream: &mut TcpStream, id: &str, is_fatal: bool) -> bool {
         let first = request.headers.get("last-event-id").map_or(1, |last| last.parse::<u64>().unwrap() + 1);
         let events = if is_fatal { self.events_before_end.load(Ordering::SeqCst) as u64 } else { EVENTS };
         if is_fatal && events == 0 {
--- a/crates/trestlerackd/tests/entry/support/mod.rs
+++ b/crates/trestlerackd/tests/entry/support/mod.rs
@@ -17,7 +17,7 @@
     EVENTS, EngineOrder, Platform, ServerMode, job_body_of, job_body_with, read_all, read_stream_from, read_stream_of,
     submit, whole_text,
 };
-pub use server::{refusing_store, reply, serve};
+pub use server::{rate_limiting_store, reply, serve};
 
 use std::time::{Duration, Instant};
 
--- a/crates/trestlerackd/tests/entry/support/platform.rs
+++ b/crates/trestlerackd/tests/entry/support/platform.rs
@@ -1,7 +1,7 @@
 //! The platform as a whole: its store, plain servers and model engines.
 
 use super::daemon::EntryDaemon;
-use super::server::{Received, reply, serve};
+use super::server::{ReceivedRequest, reply, serve};
 use super::store::StandinStore;
 use super::{call, eventually, send};
 use base64::Engine as _;
@@ -200,7 +200,7 @@
 }
 
 impl ModelEngine {
-    fn answer(&self, request: &Received, stream: &mut TcpStream) -> bool {
+    fn answer(&self, request: &ReceivedRequest, stream: &mut TcpStream) -> bool {
         match &*request.path {
             "/trestlerack/report" if self.name == "i-engine-0" && take(&self.behaviour.silent_reports) => {
                 stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
@@ -219,7 +219,7 @@
         }
     }
 
-    fn take_order(&self, request: &Received, stream: &mut TcpStream) -> bool {
+    fn take_order(&self, request: &ReceivedRequest, stream: &mut TcpStream) -> bool {
         if request.headers.get("expect-instance") != Some(&self.name) {
             return reply(stream, 421, &[("not-executed", "1")], "");
         }
@@ -252,7 +252,7 @@
 
     /// Sends the events after the one that the request names. The data of each tells the item, the
     /// event and the version that made it.
-    fn generate(&self, request: &Received, stream: &mut TcpStream) -> bool {
+    fn generate(&self, request: &ReceivedRequest, stream: &mut TcpStream) -> bool {
         let id = request.headers["request-id"].clone();
         if take(&self.behaviour.refusals) {
             return reply(stream, 503, &[("request-id", &id), ("not-executed", "1")], "");
--- a/crates/trestlerackd/tests/entry/support/store.rs
+++ b/crates/trestlerackd/tests/entry/support/store.rs
@@ -1,6 +1,6 @@
 //! The platform's store.
 
-use super::server::{Received, reply, reply_bytes, serve};
+use super::server::{ReceivedRequest, reply, reply_bytes, serve};
 use base64::Engine as _;
 use base64::prelude::BASE64_STANDARD;
 use serde_json::{Value, json};
@@ -192,7 +192,7 @@
     json!({ "table": table, "part": part, "key": key, "value": value, "ver": ver })
 }
 
-fn handle(shared: &(Mutex<StoreState>, Condvar), started: Instant, request: &Received) -> (u16, Value) {
+fn handle(shared: &(Mutex<StoreState>, Condvar), started: Instant, request: &ReceivedRequest) -> (u16, Value) {
     let (path, query) = request.path.split_once('?').unwrap_or((&request.path, ""));
     let parameter = |name: &str| -> String {
         let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -275,12 +275,12 @@
     }
 }
 
-fn object_call(request: &Received) -> Option<(&str, String)> {
+fn object_call(request: &ReceivedRequest) -> Option<(&str, String)> {
     let (call, name) = request.path.strip_prefix("/trestlerack/blob-")?.split_once('/')?;
     Some((call, decode_percent(name)))
 }
 
-fn handle_object(state: &mut StoreState, call: &str, name: String, request: &Received) -> (u16, Vec<u8>) {
+fn handle_object(state: &mut StoreState, call: &str, name: String, request: &ReceivedRequest) -> (u16, Vec<u8>) {
     match call {
         "put" if state.refuse_writes == Refusal::All => (503, vec![]),
         "put" if state.objects.contains_key(&name) => (412, vec![]),
