--- a/crates/trestlerackd/src/entry/peers.rs
+++ b/crates/trestlerackd/src/entry/peers.rs
@@ -2,10 +2,10 @@
 
 use super::feed_relay::{self, FeedCall, FeedReply};
 use super::held::HeldDecision;
-use super::{load_gossip, job_takeover};
 use super::node::EntryNode;
 use super::pool::ConnectionPool;
 use super::suspects;
+use super::{job_takeover, load_gossip};
 use crate::process::clock::{self, SystemClock};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
--- a/crates/trestlerackd/src/entry/score_calls.rs
+++ b/crates/trestlerackd/src/entry/score_calls.rs
@@ -162,19 +162,19 @@
 }
 
 /// Finds a server with a free slot. The first attempt of a call is admitted in the order of the queue. A further
-/// one is charged to the budget of second attempts unless it `is_free`.
+/// one is charged to the budget of second attempts unless it `skips_budget`.
 async fn find_slot(
     node: &Arc<EntryNode>,
     call: &RoomCall<'_>,
     is_first: bool,
-    is_free: bool,
+    skips_budget: bool,
     pick: impl Fn(SlotNeed) -> Option<InFlightGuard>,
 ) -> Option<InFlightGuard> {
     if is_first {
         return room::enter(node, call, pick).await.ok();
     }
     let guard = pick(SlotNeed::One)?;
-    (is_free || room::may_try_again(node, call, AttemptReason::Hedge)).then_some(guard)
+    (skips_budget || room::may_try_again(node, call, AttemptReason::Hedge)).then_some(guard)
 }
 
 fn pick_server(
