--- a/crates/trestlerackd/src/entry/callers.rs
+++ b/crates/trestlerackd/src/entry/callers.rs
@@ -1,7 +1,7 @@
 //! Identifies the customer of a request by the newest configuration that can be read.
 
-use super::feeds;
 use super::node::EntryNode;
+use super::table_watch;
 use crate::process::clock;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -78,7 +78,7 @@
     let is_due = refresh.limiter.lock().unwrap().try_start(node.now());
     let in_flight = refresh.in_flight.lock().await;
     if is_due {
-        let read = clock::timeout(REFRESH_TIMEOUT, feeds::read_configuration(node)).await;
+        let read = clock::timeout(REFRESH_TIMEOUT, table_watch::read_configuration(node)).await;
         refresh.is_fresh.store(matches!(read, Ok(Ok(()))), Ordering::Relaxed);
     }
     drop(in_flight);
--- a/crates/trestlerackd/src/entry/status.rs
+++ b/crates/trestlerackd/src/entry/status.rs
@@ -147,9 +147,9 @@
 
 fn follower(node: &EntryNode) -> FollowerJson {
     FollowerJson {
-        source: if node.levels.is_direct() { "store" } else { "follower" },
-        followers: node.levels.followers().map(|followers| followers.len()),
-        relays_changes: node.levels.passes_on(),
+        source: if node.follower.is_direct() { "store" } else { "follower" },
+        followers: node.follower.followers().map(|followers| followers.len()),
+        relays_changes: node.follower.relays_changes(),
         servers: node.balancer.lock().unwrap().instances().count(),
     }
 }
