--- a/crates/trestlerackd/src/entry/attempt.rs
+++ b/crates/trestlerackd/src/entry/attempt.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use trestlerack::process::MemoryReservation;
-use trestlerack_platform::{self as platform, EngineRequest, ReplyHead};
+use trestlerack_platform::{self as platform, ResponseHead, ServerRequest};
 
 /// Longest response that is buffered before it is forwarded, in bytes.
 const MAX_RESPONSE_BYTES: usize = 32 * 1024 * 1024;
@@ -27,7 +27,7 @@
     /// Headers.
     pub headers: HeaderMap,
     /// What the headers say.
-    pub head: ReplyHead,
+    pub head: ResponseHead,
     /// Body.
     pub body: Bytes,
     /// Reservation of the memory of the body.
@@ -41,7 +41,7 @@
     /// Headers.
     pub headers: HeaderMap,
     /// What the headers say.
-    pub head: ReplyHead,
+    pub head: ResponseHead,
     /// Body.
     pub body: Incoming,
     /// Connection; dropping it cancels the request at the server.
@@ -84,7 +84,7 @@
 pub async fn open_response(
     node: &Arc<EntryNode>,
     guard: InFlightGuard,
-    mut request: EngineRequest<'_>,
+    mut request: ServerRequest<'_>,
     wants_fresh: bool,
 ) -> Result<StreamingResponse, AttemptError> {
     let instance = guard.server.instance.clone();
@@ -123,7 +123,7 @@
         }
     };
     let (parts, body) = response.into_parts();
-    let head = platform::decode_reply_head(&parts.headers);
+    let head = platform::decode_response_head(&parts.headers);
     let is_other_request = head.request_id.as_deref().is_some_and(|id| id != request_id);
     if is_other_request {
         return Err(AttemptError::MayHaveRun("the response belongs to another request".into()));
@@ -137,7 +137,7 @@
     let is_other_server = parts.status == StatusCode::MISDIRECTED_REQUEST;
     if head.is_not_run || is_other_server {
         guard.record_outcome();
-        let is_gone = platform::names_instance(&parts.headers).is_some_and(|other| other != instance);
+        let is_gone = platform::responding_instance(&parts.headers).is_some_and(|other| other != instance);
         record_refusal(node, &instance, is_gone);
         if !is_gone {
             room::note_full(node, &guard.server.service);
@@ -145,7 +145,7 @@
         keep_after_refusal(node, body, lease, &head).await;
         return Err(AttemptError::NotRun(format!("refused with {}", parts.status)));
     }
-    if head.is_encoded {
+    if head.is_content_encoded {
         return Err(AttemptError::MayHaveRun(
             "the response has a content encoding, so its body is not the server's own".into(),
         ));
@@ -166,12 +166,12 @@
 }
 
 /// Reads the short body of a refusal, so that the connection can be reused.
-async fn keep_after_refusal(node: &Arc<EntryNode>, body: Incoming, lease: ConnectionLease, head: &ReplyHead) {
+async fn keep_after_refusal(node: &Arc<EntryNode>, body: Incoming, lease: ConnectionLease, head: &ResponseHead) {
     const MAX_REFUSAL_BYTES: usize = 4 * 1024;
     const REFUSAL_TIMEOUT: Duration = Duration::from_millis(50);
     let read = clock::timeout(REFUSAL_TIMEOUT, Limited::new(body, MAX_REFUSAL_BYTES).collect()).await;
     if matches!(read, Ok(Ok(_))) && !head.is_closing {
-        node.pool.keep(lease, head.idle_limit);
+        node.pool.keep(lease, head.idle_timeout);
     }
 }
 
@@ -179,7 +179,7 @@
 pub async fn fetch_response(
     node: &Arc<EntryNode>,
     guard: InFlightGuard,
-    request: EngineRequest<'_>,
+    request: ServerRequest<'_>,
     wants_fresh: bool,
     limit: Duration,
 ) -> Result<CompleteResponse, AttemptError> {
@@ -196,7 +196,7 @@
         node.balancer.lock().unwrap().succeeded(&instance);
         suspects::record_response(node, &open.guard);
         if !open.head.is_closing {
-            node.pool.keep(open.lease, open.head.idle_limit);
+            node.pool.keep(open.lease, open.head.idle_timeout);
         }
         Ok(CompleteResponse { status: open.status, headers: open.headers, head: open.head, body, reservation })
     };
--- a/crates/trestlerackd/src/entry/plain.rs
+++ b/crates/trestlerackd/src/entry/plain.rs
@@ -16,7 +16,7 @@
 use trestlerack::request::RequestFingerprint;
 use trestlerack::version::{RequestRoute, RouteKind};
 use trestlerack::{Name, Timestamp, event};
-use trestlerack_platform::{self as platform, EngineRequest};
+use trestlerack_platform::{self as platform, ServerRequest};
 
 /// Multiple of the target latency after which a repeatable request is tried at another server.
 const OVERDUE_FACTOR: u32 = 3;
@@ -290,10 +290,10 @@
     Some(InFlightGuard::new(node, entry, fingerprint).with_tokens(tokens))
 }
 
-pub fn engine_request<'a>(request: &'a ClientRequest, instance: &'a str, left: Duration) -> EngineRequest<'a> {
+pub fn engine_request<'a>(request: &'a ClientRequest, instance: &'a str, left: Duration) -> ServerRequest<'a> {
     let mut headers = HeaderMap::new();
     copy_headers(&request.headers, &mut headers);
-    EngineRequest {
+    ServerRequest {
         method: request.method.clone(),
         path: &request.path_and_query,
         host: &request.host,
--- a/crates/trestlerackd/src/entry/score_calls.rs
+++ b/crates/trestlerackd/src/entry/score_calls.rs
@@ -17,7 +17,7 @@
 use trestlerack::request::{RequestContent, RequestFingerprint, ScoreCall};
 use trestlerack::version::RequestRoute;
 use trestlerack::{Name, Timestamp, event};
-use trestlerack_platform::EngineRequest;
+use trestlerack_platform::ServerRequest;
 
 /// Most servers that run one call in parallel. A second server gets the call when the first exceeds the late
 /// threshold, and the first goes on, since a call that takes long by itself would never complete if it were
@@ -228,7 +228,7 @@
     let (instance, service) = (guard.server.instance.clone(), guard.server.service.clone());
     let timer = ResponseTimer::start(node);
     let left = deadline.since(timer.started);
-    let request = EngineRequest {
+    let request = ServerRequest {
         method: Method::POST,
         path: &call.path,
         host: &call.host,
--- a/crates/trestlerackd/src/entry/streams.rs
+++ b/crates/trestlerackd/src/entry/streams.rs
@@ -156,7 +156,7 @@
         suspects::record_response(&self.node, &self.open.guard);
         self.node.balancer.lock().unwrap().succeeded(&self.open.guard.server.instance);
         if !self.open.head.is_closing {
-            self.node.pool.keep(self.open.lease, self.open.head.idle_limit);
+            self.node.pool.keep(self.open.lease, self.open.head.idle_timeout);
         }
     }
 
