--- a/crates/trestlerackd/src/entry/duties/usage_report.rs
+++ b/crates/trestlerackd/src/entry/duties/usage_report.rs
@@ -214,7 +214,7 @@
     let fields: [(&str, &dyn std::fmt::Display); 3] =
         [("window", &state.next_window), ("windows", &missed), ("why", &"no node reported them in time")];
     logs::write(event::USAGE_MISSED, &fields);
-    node.metrics.usage_missed(missed);
+    node.metrics.record_missed_usage(missed);
     state.next_window = first_kept;
 }
 
@@ -248,7 +248,7 @@
         // The same report would be refused again, and later windows must not wait for it.
         DutyOutcome::Refused | DutyOutcome::NoneLeft => {
             state.unsent.remove(&window);
-            node.metrics.usage_missed(1);
+            node.metrics.record_missed_usage(1);
         }
         DutyOutcome::RateLimited | DutyOutcome::Unknown => state.retry_at = node.now() + RETRY_BACKOFF,
     }
--- a/crates/trestlerackd/src/entry/job_records.rs
+++ b/crates/trestlerackd/src/entry/job_records.rs
@@ -49,7 +49,7 @@
         let mut tracker = driver.tracker.lock().unwrap();
         batch.iter().for_each(|result| tracker.mark_recorded(&result.id));
         drop(tracker);
-        node.metrics.results(batch.len());
+        node.metrics.record_results(batch.len());
         node.learn_head(record.clone(), version, &driver.spec.id);
         driver.wake.notify_one();
     }
--- a/crates/trestlerackd/src/entry/job_runs.rs
+++ b/crates/trestlerackd/src/entry/job_runs.rs
@@ -1,6 +1,6 @@
 //! Starts runs of a job's items on engines, both primary and speculative ones.
 
-use super::in_flight::ServerTicket;
+use super::in_flight::InFlightGuard;
 use super::item_run::{self, RunStart};
 use super::job_driver::{ItemRun, JobDriver};
 use super::node::EntryNode;
@@ -130,9 +130,9 @@
         return false;
     }
     tracker.defer(index, node.now() + BLOCKED_RECHECK_INTERVAL.min(wait));
-    let Some(block_time) = suspects::held_for(node, fingerprint) else { return true };
+    let Some(block_time) = suspects::blocked_for(node, fingerprint) else { return true };
     if driver.logged_blocked.lock().unwrap().insert(index) {
-        suspects::log_held(node, &driver.spec.items[index].id, fingerprint, block_time);
+        suspects::log_blocked(node, &driver.spec.items[index].id, fingerprint, block_time);
     }
     true
 }
@@ -144,9 +144,9 @@
     fingerprint: RequestFingerprint,
     need: &ServerNeed<'_>,
 ) -> (Option<ServerEntry>, bool) {
-    let needs_isolation = suspects::is_repeated(node, fingerprint);
+    let needs_isolation = suspects::has_repeated_crashes(node, fingerprint);
     let entry = if needs_isolation {
-        suspects::choose_apart(node, fingerprint, need)
+        suspects::choose_server(node, fingerprint, need)
     } else {
         node.balancer.lock().unwrap().choose(node.now(), need).map(|server| server.entry.clone())
     };
@@ -184,8 +184,8 @@
 fn spawn_run(node: &Arc<EntryNode>, driver: &Arc<JobDriver>, start: RunStart, engine: ServerEntry) {
     let RunStart { index, kind, .. } = start;
     log_start(node, driver, start, &engine);
-    let ticket = ServerTicket::new(node, engine, driver.fingerprints[index]).holding(driver.tokens[index]);
-    let run = tokio::spawn(item_run::run(node.clone(), driver.clone(), start, ticket));
+    let guard = InFlightGuard::new(node, engine, driver.fingerprints[index]).with_tokens(driver.tokens[index]);
+    let run = tokio::spawn(item_run::run(node.clone(), driver.clone(), start, guard));
     let run = ItemRun { handle: run.abort_handle(), started: node.now() };
     driver.runs.lock().unwrap().insert((index, kind), run);
 }
@@ -201,7 +201,7 @@
         ("engine", &engine.instance),
         ("rank", &priority),
     ];
-    choice_log::write_choice(node, event::RUN_STARTED, &fields, engine, model.as_deref());
+    choice_log::log_choice(node, event::RUN_STARTED, &fields, engine, model.as_deref());
 }
 
 /// Starts a speculative run of an item that may not be complete before its client ends the job.
--- a/crates/trestlerackd/src/entry/server_discovery.rs
+++ b/crates/trestlerackd/src/entry/server_discovery.rs
@@ -153,7 +153,7 @@
 }
 
 fn apply_changes(node: &Arc<EntryNode>, changes: ServerChanges) {
-    changes.ended.iter().for_each(|server| suspects::server_gone(node, server));
+    changes.ended.iter().for_each(|server| suspects::record_server_gone(node, server));
     if changes.changed.is_empty() && changes.removed.is_empty() {
         return;
     }
