--- a/crates/trestlerackd/src/entry/room/mod.rs
+++ b/crates/trestlerackd/src/entry/admission/mod.rs
@@ -4,18 +4,18 @@
 //! elsewhere a call looks for any server for a part of its target latency. See
 //! [docs/design/room.md](../../../../../docs/design/room.md).
 
-mod entrance;
-mod lines;
 mod metrics;
-mod wait;
+mod queue_wait;
+mod service_calls;
+mod status;
 
-pub use entrance::{RoomCall, enter, may_try_again, note_attempt, note_call};
-pub use lines::lines;
 pub use metrics::RoomMetrics;
+pub use service_calls::{RoomCall, enter, may_try_again, note_attempt, note_call};
+pub use status::lines;
 
 use super::node::EntryNode;
 use crate::process::clock;
-use lines::RefusalCounts;
+use status::RefusalCounts;
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
--- a/crates/trestlerackd/src/entry/room/entrance.rs
+++ b/crates/trestlerackd/src/entry/admission/service_calls.rs
@@ -1,7 +1,7 @@
 //! Gets calls a place at a server of their service.
 
 use super::LOOK_INTERVAL;
-use super::wait::{refuse_unserved, wait_for_place};
+use super::queue_wait::{refuse_unserved, wait_for_place};
 use crate::entry::node::EntryNode;
 use crate::entry::server_ticket::ServerTicket;
 use crate::entry::shares;
--- a/crates/trestlerackd/src/entry/attempt.rs
+++ b/crates/trestlerackd/src/entry/attempt.rs
@@ -3,7 +3,7 @@
 use super::node::EntryNode;
 use super::pool::{ConnectionLease, ExchangeError};
 use super::server_ticket::ServerTicket;
-use super::{held, room, server_answers, server_end, suspects};
+use super::{admission, resource_limits, server_answers, server_end, suspects};
 use crate::process::clock;
 use crate::process::tracing::HopSpan;
 use bytes::Bytes;
@@ -140,7 +140,7 @@
         let is_gone = platform::names_instance(&parts.headers).is_some_and(|other| other != instance);
         note_refusal(node, &instance, is_gone);
         if !is_gone {
-            room::note_full(node, &ticket.server.service);
+            admission::note_full(node, &ticket.server.service);
         }
         keep_after_body(node, body, lease, &head).await;
         return Err(AttemptError::NotRun(format!("refused with {}", parts.status)));
@@ -185,7 +185,7 @@
     let request_id = request.request_id.to_owned();
     let exchange = async {
         let open = open_answer(node, ticket, request, wants_fresh).await?;
-        let body = held::read_answer(node, &request_id, open.body, MAX_ANSWER).await;
+        let body = resource_limits::read_answer(node, &request_id, open.body, MAX_ANSWER).await;
         let Some((body, held)) = body else {
             node.board.lock().unwrap().failed(node.now(), &instance);
             server_end::connection_broke(node, &open.ticket, &request_id).await;
--- a/crates/trestlerackd/src/entry/attempts.rs
+++ b/crates/trestlerackd/src/entry/attempts.rs
@@ -10,7 +10,7 @@
 use super::server_answers::{self, AnswerWatch};
 use super::server_ticket::ServerTicket;
 use super::trail::RequestTrail;
-use super::{room, second_attempts, suspects, urgency};
+use super::{admission, engine_priority, hedging, suspects};
 use crate::process::clock;
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
@@ -226,7 +226,7 @@
             }
         };
         let server = ticket.server.instance.clone();
-        let is_trial = second_attempts::is_trial(self.node, &server);
+        let is_trial = hedging::is_trial(self.node, &server);
         state.open.push(OpenAttempt { server, watch: AnswerWatch::start(self.node), is_trial });
         Some(ticket)
     }
@@ -245,7 +245,7 @@
             state.is_late = true;
             state.wants_server = true;
         } else {
-            state.wants_server = second_attempts::has_place(self.node, service);
+            state.wants_server = hedging::has_place(self.node, service);
         }
     }
 
@@ -288,12 +288,12 @@
         let pick = |room| plain::pick_server(node, route, request, fingerprint, trail.tried(), room);
         let ticket = pick(ServerRoom::Place)?;
         let call = plain::room_call(route, request, trail.started(), deadline)?;
-        if is_early && !before.is_trial && !room::may_try_again(node, &call, AttemptReason::Hedge) {
+        if is_early && !before.is_trial && !admission::may_try_again(node, &call, AttemptReason::Hedge) {
             return None;
         }
         trail.add(&ticket.server.instance);
         let (id, waited) = (request.id(), node.now().since(before.watch.started));
-        second_attempts::log_asked(id, &ticket.server.instance, waited);
+        hedging::log_asked(id, &ticket.server.instance, waited);
         Some(ticket)
     }
 
@@ -308,7 +308,7 @@
         if late <= node.now() {
             return NextServer::Never;
         }
-        let early = self.service().and_then(|service| second_attempts::after(node, route, service));
+        let early = self.service().and_then(|service| hedging::after(node, route, service));
         match early.map(|early| last.watch.started + early) {
             Some(early) if !state.is_early_over && early < late => NextServer::Early(early),
             _ => NextServer::Late(late),
@@ -347,7 +347,7 @@
         let watch = AnswerWatch::start(node);
         let left = deadline.since(watch.started);
         let mut engine_request = plain::engine_request(request, &server, left);
-        engine_request.priority = urgency::of_request(node, route, &ticket.server.service, request, left, None);
+        engine_request.priority = engine_priority::of_request(node, route, &ticket.server.service, request, left, None);
         let outcome = attempt::whole_answer(node, ticket, engine_request, !self.is_safe(), limit).await;
         match &outcome {
             Ok(answer) if answer.status.is_server_error() => server_answers::failed(node, &server),
--- a/crates/trestlerackd/src/entry/client_links.rs
+++ b/crates/trestlerackd/src/entry/client_connections.rs
@@ -1,8 +1,8 @@
 //! Accepts the connections of clients and serves each until it ends.
 
 use super::front;
-use super::held::{Admission, ClientLink, LinkSeat, LinkedBody, WatchedStream};
 use super::node::EntryNode;
+use super::resource_limits::{Admission, ClientLink, LinkSeat, LinkedBody, WatchedStream};
 use crate::process::clock;
 use http::{HeaderValue, Response, header};
 use hyper::Request;
--- a/crates/trestlerackd/src/entry/front.rs
+++ b/crates/trestlerackd/src/entry/front.rs
@@ -1,8 +1,8 @@
 //! Serves clients: reads each request and hands it to what it is about.
 
 use super::callers::{self, CallerAnswer};
-use super::held::{self, BodyRefusal};
 use super::node::EntryNode;
+use super::resource_limits::{self, BodyRefusal};
 use super::{job_accept, job_calls, plain};
 use crate::process::logs;
 use bytes::Bytes;
@@ -149,7 +149,7 @@
     let time_left = request.head.time_left;
     let limit = route.map_or(UNROUTED_BODY_TIME, |route| plain::time_limit(route, time_left));
     let id = or_empty(&request.head.request_id);
-    match held::read_body(node, &id, body, routing.limits.max_body_bytes, limit).await {
+    match resource_limits::read_body(node, &id, body, routing.limits.max_body_bytes, limit).await {
         Ok((body, held)) => {
             (request.body, request.held) = (body, held);
             Ok(())
--- a/crates/trestlerackd/src/entry/second_attempts.rs
+++ b/crates/trestlerackd/src/entry/hedging.rs
@@ -1,5 +1,5 @@
 //! When a second server may be asked beside the first, by what this node has learnt. The budget is that of
-//! [`super::room`].
+//! [`super::admission`].
 
 use super::node::EntryNode;
 use crate::process::logs;
--- a/crates/trestlerackd/src/entry/job_runs.rs
+++ b/crates/trestlerackd/src/entry/job_runs.rs
@@ -4,7 +4,7 @@
 use super::job_driver::{ItemRun, JobDriver};
 use super::node::EntryNode;
 use super::server_ticket::ServerTicket;
-use super::{choice_log, engine_memory, suspects, urgency};
+use super::{choice_log, engine_memory, engine_priority, suspects};
 use crate::process::logs;
 use std::sync::Arc;
 use std::time::Duration;
@@ -175,7 +175,7 @@
     engine: ServerEntry,
 ) {
     let lane = RunKind::Primary;
-    let rank = urgency::of_item(node, driver, ledger, &engine.service, index, lane);
+    let rank = engine_priority::of_item(node, driver, ledger, &engine.service, index, lane);
     ledger.start(index, &engine.instance);
     spawn_run(node, driver, RunStart { index, lane, rank }, engine);
 }
@@ -219,7 +219,7 @@
     let entry = node.board.lock().unwrap().choose(node.now(), &need).map(|belief| belief.entry.clone());
     let Some(entry) = entry else { return };
     let lane = RunKind::Speculative;
-    let rank = urgency::of_item(node, driver, &ledger, &entry.service, index, lane);
+    let rank = engine_priority::of_item(node, driver, &ledger, &entry.service, index, lane);
     ledger.start_speculative(index, &entry.instance);
     drop(ledger);
     spawn_run(node, driver, RunStart { index, lane, rank }, entry);
--- a/crates/trestlerackd/src/entry/metrics.rs
+++ b/crates/trestlerackd/src/entry/metrics.rs
@@ -1,8 +1,8 @@
 //! Counters and histograms, served as text on the metrics address.
 
+use super::admission::RoomMetrics;
 use super::node::EntryNode;
-use super::room::RoomMetrics;
-use super::{engine_memory, held, status};
+use super::{engine_memory, resource_limits, status};
 use http::StatusCode;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -133,7 +133,7 @@
     page.extend_from_slice(engine_memory::metrics_lines(node).as_bytes());
     server_gauges(node, &mut page);
     let mut lines = format!("trestlerack_entry_connections_opened {}\n", node.pool.opened());
-    held::write_metrics(&node.held, &mut lines);
+    resource_limits::write_metrics(&node.held, &mut lines);
     page.extend_from_slice(lines.as_bytes());
     page
 }
--- a/crates/trestlerackd/src/entry/mod.rs
+++ b/crates/trestlerackd/src/entry/mod.rs
@@ -4,20 +4,22 @@
 //! relays store calls for peers, and may hold the lease on weight orders. What has to last is in
 //! the platform's store; see [docs/PLATFORM.md](../../../../docs/PLATFORM.md).
 
+mod admission;
 mod adoption;
 mod attempt;
 mod attempts;
 mod callers;
 mod choice_log;
-mod client_links;
+mod client_connections;
 mod drive_mode;
 mod duties;
 mod engine_calls;
 mod engine_memory;
+mod engine_priority;
 mod feed_relay;
 mod feeds;
 mod front;
-mod held;
+mod hedging;
 mod item_run;
 mod job_accept;
 mod job_calls;
@@ -36,11 +38,10 @@
 mod plain;
 mod pool;
 mod readiness;
+mod resource_limits;
 mod retention;
-mod room;
 mod run_moves;
 mod score_calls;
-mod second_attempts;
 mod server_answers;
 mod server_end;
 mod server_feed;
@@ -53,7 +54,6 @@
 mod suspects;
 mod tables;
 mod trail;
-mod urgency;
 mod weight_book;
 mod weights;
 
@@ -86,7 +86,7 @@
     let hangup = signal(SignalKind::hangup())?;
     let node = Arc::new(EntryNode::open(settings)?);
     logs::write(event::NODE_STARTED, &[("node", &node.settings.name), ("zone", &node.settings.zone)]);
-    tokio::spawn(client_links::serve(node.clone(), clients));
+    tokio::spawn(client_connections::serve(node.clone(), clients));
     tokio::spawn(readiness::serve(node.clone(), readiness));
     tokio::spawn(peers::serve(node.clone(), peer_calls));
     if let Some(listener) = metrics_calls {
--- a/crates/trestlerackd/src/entry/node.rs
+++ b/crates/trestlerackd/src/entry/node.rs
@@ -1,15 +1,15 @@
 //! The state that an entry node shares between its tasks.
 
+use super::admission::RoomDesk;
 use super::callers::KeyRefresh;
 use super::duties::UsageBook;
-use super::held::HeldDesk;
 use super::job_driver::JobDriver;
 use super::lease_book::LeaseBook;
 use super::levels::LevelDesk;
 use super::metrics::EntryMetrics;
 use super::peers::PeerClient;
 use super::pool::ConnectionPool;
-use super::room::RoomDesk;
+use super::resource_limits::HeldDesk;
 use super::shares::ShareDesk;
 use super::store::{DirectStore, RelayedStore};
 use super::suspects::SuspectDesk;
--- a/crates/trestlerackd/src/entry/peers.rs
+++ b/crates/trestlerackd/src/entry/peers.rs
@@ -2,10 +2,10 @@
 
 use super::adoption;
 use super::feed_relay::{self, FeedCall, FeedReply};
-use super::held::HeldDecision;
 use super::news;
 use super::node::EntryNode;
 use super::pool::ConnectionPool;
+use super::resource_limits::HeldDecision;
 use super::suspects;
 use crate::process::clock::{self, SystemClock};
 use bytes::Bytes;
--- a/crates/trestlerackd/src/entry/plain.rs
+++ b/crates/trestlerackd/src/entry/plain.rs
@@ -1,10 +1,10 @@
 //! Requests that are passed on to a backend server of their route's service.
 
+use super::admission::{self, RoomCall};
 use super::attempt::WholeAnswer;
 use super::front::{ClientRequest, ReplyBody, full_reply};
-use super::held::AnswerBytes;
 use super::node::EntryNode;
-use super::room::{self, RoomCall};
+use super::resource_limits::AnswerBytes;
 use super::server_ticket::ServerTicket;
 use super::trail::RequestTrail;
 use super::{attempts, choice_log, engine_memory, shares, streams, suspects};
@@ -173,7 +173,7 @@
     let arrived = if goes_on(route, trail) { node.now() } else { trail.started() };
     let call = room_call(route, request, arrived, deadline).ok_or(None)?;
     let pick = |room| pick_server(node, route, request, fingerprint, trail.tried(), room);
-    let ticket = if room::is_active(node, call.service) {
+    let ticket = if admission::is_active(node, call.service) {
         find_place(node, &call, trail, pick).await?
     } else {
         search_server(node, &call, pick).await.ok_or(None)?
@@ -209,15 +209,15 @@
     pick: impl Fn(ServerRoom) -> Option<ServerTicket>,
 ) -> Result<ServerTicket, Option<Duration>> {
     if trail.tried().is_empty() {
-        room::note_call(node, call);
+        admission::note_call(node, call);
     }
     // What ran nowhere yet waits for its place like any other call.
     if trail.runs() == 0 || goes_on(call.route, trail) {
-        return room::enter(node, call, pick).await;
+        return admission::enter(node, call, pick).await;
     }
     match pick(ServerRoom::Place) {
         Some(ticket) => Ok(ticket),
-        None if room::may_try_again(node, call, AttemptReason::Retry) => pick(ServerRoom::Any).ok_or(None),
+        None if admission::may_try_again(node, call, AttemptReason::Retry) => pick(ServerRoom::Any).ok_or(None),
         None => Err(None),
     }
 }
@@ -226,7 +226,7 @@
 pub fn note_work(node: &EntryNode, route: &RequestRoute, request: &ClientRequest, took: Duration) {
     let id = request.id();
     if let Some(service) = route.service_for(id)
-        && room::is_active(node, service)
+        && admission::is_active(node, service)
     {
         node.board.lock().unwrap().answered(service, took);
     }
--- a/crates/trestlerackd/src/entry/held/body_reader.rs
+++ b/crates/trestlerackd/src/entry/resource_limits/body_reader.rs
@@ -1,6 +1,6 @@
 //! Reads the bodies of requests: bytes are taken from the ledger first, and have to come at a least rate.
 
-use super::bodies::BodyPlace;
+use super::uploads::BodyPlace;
 use super::{HeldDecision, HeldDesk};
 use crate::entry::node::EntryNode;
 use crate::process::clock;
--- a/crates/trestlerackd/src/entry/held/mod.rs
+++ b/crates/trestlerackd/src/entry/resource_limits/mod.rs
@@ -3,26 +3,25 @@
 //! Who gives way is decided in `trestlerack::process`; here it is carried out. See
 //! [docs/design/held-memory.md](../../../../../docs/design/held-memory.md).
 
-mod answers;
-mod bodies;
 mod body_reader;
-mod links;
-mod pace_gate;
-mod page;
-mod reply;
+mod connection_table;
+mod interval_limiter;
+mod reply_body;
+mod response_reader;
+mod status;
+mod uploads;
 mod watched_stream;
 
-pub use answers::read_answer;
 pub use body_reader::{BodyRefusal, read_body};
-pub use links::{Admission, ClientLink, LinkSeat};
-pub use page::{memory_lines, write_metrics};
-pub use reply::{AnswerBytes, LinkedBody};
+pub use connection_table::{Admission, ClientLink, LinkSeat};
+pub use reply_body::{AnswerBytes, LinkedBody};
+pub use response_reader::read_answer;
+pub use status::{memory_lines, write_metrics};
 pub use watched_stream::WatchedStream;
 
 use crate::process::logs;
-use bodies::BodyTable;
-use links::LinkTable;
-use pace_gate::PaceGate;
+use connection_table::LinkTable;
+use interval_limiter::PaceGate;
 use std::fmt::Display;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -32,6 +31,7 @@
     is_near_limit, run_limit,
 };
 use trestlerack::{Timestamp, event};
+use uploads::BodyTable;
 
 /// Share of the bound that idle connections of clients may have, one part in so many.
 const CONNECTION_PARTS: usize = 4;
--- a/crates/trestlerackd/src/entry/score_calls.rs
+++ b/crates/trestlerackd/src/entry/score_calls.rs
@@ -1,11 +1,11 @@
 //! Calls to scoring services, which may be repeated.
 
+use super::admission::{self, RoomCall};
 use super::attempt::{self, AttemptError};
 use super::node::EntryNode;
-use super::room::{self, RoomCall};
 use super::server_answers::{self, AnswerWatch};
 use super::server_ticket::ServerTicket;
-use super::{plain, second_attempts, shares, suspects, urgency};
+use super::{engine_priority, hedging, plain, shares, suspects};
 use crate::process::clock;
 use crate::process::logs;
 use futures_util::StreamExt;
@@ -84,20 +84,20 @@
     let Some(route) = routing.select(&call.host, &call.path) else { return ScoreEnd::NoAnswer };
     let Some(service) = route.service_for(&call.id) else { return ScoreEnd::NoAnswer };
     let deadline = node.now() + plain::time_limit(route, None);
-    let rank = urgency::of_score(&routing, route, service, customer);
+    let rank = engine_priority::of_score(&routing, route, service, customer);
     let fingerprint = fingerprint(call);
     let (kind, arrived) = (CallKind::Score, node.now());
     let directory = routing.customers.as_ref();
     let customer = customer.and_then(|name| directory?.get(name));
     let room_call = RoomCall { id: &call.id, service, route, customer, kind, arrived, deadline };
-    let is_by_room = room::is_active(node, service);
+    let is_by_room = admission::is_active(node, service);
     let mut attempts = FuturesUnordered::new();
     let mut starts: Vec<AnswerWatch> = Vec::new();
     let mut next_at = node.now();
     let mut early_at = None;
     let (mut is_trial, mut is_early) = (false, false);
     if is_by_room {
-        room::note_call(node, &room_call);
+        admission::note_call(node, &room_call);
     }
     loop {
         if attempts.is_empty()
@@ -118,13 +118,13 @@
         if let Some(ticket) = ticket {
             tried.push(ticket.server.instance.clone());
             starts.push(AnswerWatch::start(node));
-            is_trial = second_attempts::is_trial(node, &ticket.server.instance);
+            is_trial = hedging::is_trial(node, &ticket.server.instance);
             attempts.push(attempt_score(node, call, route, ticket, deadline, rank));
         }
         if is_due {
             is_early = false;
             next_at = node.now() + patience(node, service, route);
-            early_at = second_attempts::after(node, route, service).map(|after| node.now() + after);
+            early_at = hedging::after(node, route, service).map(|after| node.now() + after);
         }
         let wake_at = early_at.map_or(next_at, |early| next_at.min(early));
         let answer = match attempts.len() {
@@ -144,7 +144,7 @@
             Ok(Some((_, ScoreEnd::NoAnswer))) => next_at = node.now(),
             Err(_) => {
                 is_early = early_at.take_if(|early| *early < next_at).is_some();
-                if is_early && second_attempts::has_place(node, service) {
+                if is_early && hedging::has_place(node, service) {
                     next_at = node.now();
                 }
             }
@@ -169,10 +169,10 @@
     pick: impl Fn(ServerRoom) -> Option<ServerTicket>,
 ) -> Option<ServerTicket> {
     if is_first {
-        return room::enter(node, call, pick).await.ok();
+        return admission::enter(node, call, pick).await.ok();
     }
     let ticket = pick(ServerRoom::Place)?;
-    (is_free || room::may_try_again(node, call, AttemptReason::Hedge)).then_some(ticket)
+    (is_free || admission::may_try_again(node, call, AttemptReason::Hedge)).then_some(ticket)
 }
 
 fn pick_server(
--- a/crates/trestlerackd/src/entry/server_feed.rs
+++ b/crates/trestlerackd/src/entry/server_feed.rs
@@ -1,7 +1,7 @@
 //! Takes over what service discovery tells of backend servers.
 
 use super::node::EntryNode;
-use super::{room, suspects};
+use super::{admission, suspects};
 use crate::process::logs;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -171,7 +171,7 @@
         }
     }
     node.levels.put(news.rows);
-    room::servers_changed(node);
+    admission::servers_changed(node);
 }
 
 fn is_only_heartbeat(held: &ServerEntry, entry: &ServerEntry) -> bool {
--- a/crates/trestlerackd/src/entry/server_ticket.rs
+++ b/crates/trestlerackd/src/entry/server_ticket.rs
@@ -1,7 +1,7 @@
 //! A request that a backend server works on, as this node counts it.
 
+use super::admission;
 use super::node::EntryNode;
-use super::room;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use trestlerack::process::{ServerEntry, SuspectRun, TokenNeed};
@@ -45,7 +45,7 @@
     /// Records that the request is on its way to the server.
     pub fn sent(&self) {
         self.is_open.store(true, Ordering::Relaxed);
-        room::note_attempt(&self.node, &self.server.service);
+        admission::note_attempt(&self.node, &self.server.service);
     }
 
     /// Records that the outcome is known: an answer, a refusal or a broken connection.
@@ -83,6 +83,6 @@
         if let Some(run) = self.run {
             self.node.suspects.book().end_run(&self.server.instance, run);
         }
-        room::place_freed(&self.node, &self.server.service);
+        admission::place_freed(&self.node, &self.server.service);
     }
 }
--- a/crates/trestlerackd/src/entry/status.rs
+++ b/crates/trestlerackd/src/entry/status.rs
@@ -5,9 +5,9 @@
 //! Answers are JSON and come from what the node knows, without a call to the store. They hold no
 //! key; [docs/API.md](../../../../docs/API.md#entry-nodes) has the fields.
 
-use super::held;
+use super::admission;
 use super::node::EntryNode;
-use super::room;
+use super::resource_limits;
 use serde::Serialize;
 use std::time::Duration;
 use trestlerack::Name;
@@ -114,9 +114,9 @@
         DUTIES_PATH => serde_json::to_vec(&duties(node)),
         SUSPECTS_PATH => serde_json::to_vec(&suspects(node)),
         SERVERS_PATH => serde_json::to_vec(&servers(node)),
-        ROOM_PATH => serde_json::to_vec(&room::lines(node)),
+        ROOM_PATH => serde_json::to_vec(&admission::lines(node)),
         LEVEL_PATH => serde_json::to_vec(&[level(node)]),
-        MEMORY_PATH => serde_json::to_vec(&held::memory_lines(&node.held)),
+        MEMORY_PATH => serde_json::to_vec(&resource_limits::memory_lines(&node.held)),
         _ => return None,
     };
     lines.ok()
--- a/crates/trestlerackd/src/entry/streams.rs
+++ b/crates/trestlerackd/src/entry/streams.rs
@@ -5,7 +5,7 @@
 use super::node::EntryNode;
 use super::plain::{self, Shortfall};
 use super::trail::RequestTrail;
-use super::{server_end, suspects, urgency};
+use super::{engine_priority, server_end, suspects};
 use crate::process::clock;
 use bytes::Bytes;
 use futures_util::stream;
@@ -103,7 +103,7 @@
         let mut engine_request = plain::engine_request(request, &instance, left);
         engine_request.resume_after = resume_after;
         let service = &ticket.server.service;
-        engine_request.priority = urgency::of_request(node, route, service, request, left, resume_after);
+        engine_request.priority = engine_priority::of_request(node, route, service, request, left, resume_after);
         let opening = attempt::open_answer(node, ticket, engine_request, !route.resumable);
         match clock::timeout(left, opening).await {
             Ok(Ok(answer)) => {
