--- a/crates/trestlerackd/src/entry/attempt.rs
+++ b/crates/trestlerackd/src/entry/attempt.rs
@@ -3,7 +3,7 @@
 use super::in_flight::InFlightGuard;
 use super::node::EntryNode;
 use super::pool::{ConnectionLease, ExchangeError};
-use super::{crash_detection, held, room, server_responses, suspects};
+use super::{admission, crash_detection, resource_limits, server_responses, suspects};
 use crate::process::clock;
 use crate::process::tracing::HopSpan;
 use bytes::Bytes;
@@ -140,7 +140,7 @@
         let is_gone = platform::responding_instance(&parts.headers).is_some_and(|other| other != instance);
         record_refusal(node, &instance, is_gone);
         if !is_gone {
-            room::note_full(node, &guard.server.service);
+            admission::note_full(node, &guard.server.service);
         }
         keep_after_refusal(node, body, lease, &head).await;
         return Err(AttemptError::NotRun(format!("refused with {}", parts.status)));
@@ -187,7 +187,7 @@
     let request_id = request.request_id.to_owned();
     let exchange = async {
         let open = open_response(node, guard, request, wants_fresh).await?;
-        let body = held::read_answer(node, &request_id, open.body, MAX_RESPONSE_BYTES).await;
+        let body = resource_limits::read_answer(node, &request_id, open.body, MAX_RESPONSE_BYTES).await;
         let Some((body, reservation)) = body else {
             node.balancer.lock().unwrap().failed(node.now(), &instance);
             crash_detection::check_broken_connection(node, &open.guard, &request_id).await;
--- a/crates/trestlerackd/src/entry/attempts.rs
+++ b/crates/trestlerackd/src/entry/attempts.rs
@@ -10,7 +10,7 @@
 use super::plain::{self, RequestFailure};
 use super::request_history::RequestHistory;
 use super::server_responses::{self, ResponseTimer};
-use super::{room, second_attempts, suspects, urgency};
+use super::{admission, engine_priority, hedging, suspects};
 use crate::process::clock;
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
@@ -228,7 +228,7 @@
             }
         };
         let server = guard.server.instance.clone();
-        let is_probe = second_attempts::is_trial(self.node, &server);
+        let is_probe = hedging::is_trial(self.node, &server);
         state.pending.push(PendingAttempt { server, timer: ResponseTimer::start(self.node), is_probe });
         Some(guard)
     }
@@ -248,7 +248,7 @@
             state.is_overdue = true;
             state.wants_server = true;
         } else {
-            state.wants_server = second_attempts::has_place(self.node, service);
+            state.wants_server = hedging::has_place(self.node, service);
         }
     }
 
@@ -298,12 +298,12 @@
         let pick = |slot_need| plain::pick_server(node, route, request, fingerprint, history.tried(), slot_need);
         let guard = pick(SlotNeed::One)?;
         let call = plain::service_call(route, request, history.started(), deadline)?;
-        if is_hedge && !previous.is_probe && !room::may_try_again(node, &call, AttemptReason::Hedge) {
+        if is_hedge && !previous.is_probe && !admission::may_try_again(node, &call, AttemptReason::Hedge) {
             return None;
         }
         history.record_server(&guard.server.instance);
         let (id, waited) = (request.id(), node.now().since(previous.timer.started));
-        second_attempts::log_asked(id, &guard.server.instance, waited);
+        hedging::log_asked(id, &guard.server.instance, waited);
         Some(guard)
     }
 
@@ -318,7 +318,7 @@
         if overdue_at <= node.now() {
             return NextAttempt::Never;
         }
-        let hedge_delay = self.service().and_then(|service| second_attempts::after(node, route, service));
+        let hedge_delay = self.service().and_then(|service| hedging::after(node, route, service));
         match hedge_delay.map(|delay| last.timer.started + delay) {
             Some(hedge_at) if !state.is_hedge_decided && hedge_at < overdue_at => NextAttempt::Hedge(hedge_at),
             _ => NextAttempt::Overdue(overdue_at),
@@ -357,7 +357,7 @@
         let timer = ResponseTimer::start(node);
         let left = deadline.since(timer.started);
         let mut engine_request = plain::engine_request(request, &server, left);
-        engine_request.priority = urgency::of_request(node, route, &guard.server.service, request, left, None);
+        engine_request.priority = engine_priority::of_request(node, route, &guard.server.service, request, left, None);
         let outcome = attempt::fetch_response(node, guard, engine_request, !self.is_safe(), limit).await;
         match &outcome {
             Ok(response) if response.status.is_server_error() => server_responses::record_failure(node, &server),
--- a/crates/trestlerackd/src/entry/in_flight.rs
+++ b/crates/trestlerackd/src/entry/in_flight.rs
@@ -1,7 +1,7 @@
 //! Counts the requests of this node that are in flight at backend servers.
 
+use super::admission;
 use super::node::EntryNode;
-use super::room;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use trestlerack::process::{ServerEntry, SuspectRun, TokenNeed};
@@ -53,7 +53,7 @@
     /// Records that the request is sent to the server.
     pub fn record_sent(&self) {
         self.is_outcome_pending.store(true, Ordering::Relaxed);
-        room::note_attempt(&self.node, &self.server.service);
+        admission::note_attempt(&self.node, &self.server.service);
     }
 
     /// Records that the outcome is known: a response, a refusal or a broken connection.
@@ -93,6 +93,6 @@
         if let Some(suspect_run) = self.suspect_run {
             self.node.suspects.tracker().end_run(&self.server.instance, suspect_run);
         }
-        room::place_freed(&self.node, &self.server.service);
+        admission::place_freed(&self.node, &self.server.service);
     }
 }
--- a/crates/trestlerackd/src/entry/job_runs.rs
+++ b/crates/trestlerackd/src/entry/job_runs.rs
@@ -4,7 +4,7 @@
 use super::item_run::{self, RunStart};
 use super::job_driver::{ItemRun, JobDriver};
 use super::node::EntryNode;
-use super::{choice_log, engine_memory, suspects, urgency};
+use super::{choice_log, engine_memory, engine_priority, suspects};
 use crate::process::logs;
 use std::sync::Arc;
 use std::time::Duration;
@@ -176,7 +176,7 @@
     engine: ServerEntry,
 ) {
     let kind = RunKind::Primary;
-    let priority = urgency::of_item(node, driver, tracker, &engine.service, index, kind);
+    let priority = engine_priority::of_item(node, driver, tracker, &engine.service, index, kind);
     tracker.start(index, &engine.instance);
     spawn_run(node, driver, RunStart { index, kind, priority }, engine);
 }
@@ -225,7 +225,7 @@
     let entry = node.balancer.lock().unwrap().choose(node.now(), &need).map(|server| server.entry.clone());
     let Some(entry) = entry else { return };
     let kind = RunKind::Speculative;
-    let priority = urgency::of_item(node, driver, &tracker, &entry.service, index, kind);
+    let priority = engine_priority::of_item(node, driver, &tracker, &entry.service, index, kind);
     tracker.start_speculative(index, &entry.instance);
     drop(tracker);
     spawn_run(node, driver, RunStart { index, kind, priority }, entry);
--- a/crates/trestlerackd/src/entry/mod.rs
+++ b/crates/trestlerackd/src/entry/mod.rs
@@ -4,20 +4,22 @@
 //! relays store calls for peers, and may hold the lease on weight orders. What has to last is in
 //! the platform's store; see [docs/PLATFORM.md](../../../../docs/PLATFORM.md).
 
+mod admission;
 mod attempt;
 mod attempts;
 mod callers;
 mod choice_log;
-mod client_links;
+mod client_connections;
 mod crash_detection;
 mod drive_mode;
 mod duties;
 mod engine_calls;
 mod engine_memory;
+mod engine_priority;
 mod feed_relay;
 mod follower_state;
 mod front;
-mod held;
+mod hedging;
 mod in_flight;
 mod item_run;
 mod job_accept;
@@ -38,11 +40,10 @@
 mod pool;
 mod readiness;
 mod request_history;
+mod resource_limits;
 mod retention;
-mod room;
 mod run_moves;
 mod score_calls;
-mod second_attempts;
 mod server_discovery;
 mod server_responses;
 mod shares;
@@ -53,7 +54,7 @@
 mod suspects;
 mod table_watch;
 mod tables;
-mod urgency;
+
 mod weight_book;
 mod weights;
 
@@ -86,7 +87,7 @@
     let hangup = signal(SignalKind::hangup())?;
     let node = Arc::new(EntryNode::open(settings)?);
     logs::write(event::NODE_STARTED, &[("node", &node.settings.name), ("zone", &node.settings.zone)]);
-    tokio::spawn(client_links::serve(node.clone(), clients));
+    tokio::spawn(client_connections::serve(node.clone(), clients));
     tokio::spawn(readiness::serve(node.clone(), readiness));
     tokio::spawn(peers::serve(node.clone(), peer_calls));
     if let Some(listener) = metrics_calls {
--- a/crates/trestlerackd/src/entry/peers.rs
+++ b/crates/trestlerackd/src/entry/peers.rs
@@ -1,10 +1,10 @@
 //! What nodes ask each other: to relay a store call, and whether a job is driven.
 
 use super::feed_relay::{self, FeedCall, FeedReply};
-use super::held::HeldDecision;
 
 use super::node::EntryNode;
 use super::pool::ConnectionPool;
+use super::resource_limits::HeldDecision;
 use super::suspects;
 use super::{job_takeover, load_gossip};
 use crate::process::clock::{self, SystemClock};
--- a/crates/trestlerackd/src/entry/plain.rs
+++ b/crates/trestlerackd/src/entry/plain.rs
@@ -1,12 +1,12 @@
 //! Forwards requests to a backend server of their route's service.
 
+use super::admission::{self, RoomCall};
 use super::attempt::CompleteResponse;
 use super::front::{ClientRequest, ReplyBody, full_reply};
-use super::held::AnswerBytes;
 use super::in_flight::InFlightGuard;
 use super::node::EntryNode;
 use super::request_history::RequestHistory;
-use super::room::{self, RoomCall};
+use super::resource_limits::AnswerBytes;
 use super::{attempts, choice_log, engine_memory, shares, streams, suspects};
 use crate::process::clock;
 use http::{HeaderMap, Response, StatusCode};
@@ -174,7 +174,7 @@
     let arrived = if is_resuming(route, history) { node.now() } else { history.started() };
     let call = service_call(route, request, arrived, deadline).ok_or(None)?;
     let pick = |slot_need| pick_server(node, route, request, fingerprint, history.tried(), slot_need);
-    let guard = if room::is_active(node, call.service) {
+    let guard = if admission::is_active(node, call.service) {
         find_slot(node, &call, history, pick).await?
     } else {
         search_server(node, &call, pick).await.ok_or(None)?
@@ -210,15 +210,15 @@
     pick: impl Fn(SlotNeed) -> Option<InFlightGuard>,
 ) -> Result<InFlightGuard, Option<Duration>> {
     if history.tried().is_empty() {
-        room::note_call(node, call);
+        admission::note_call(node, call);
     }
     // A call that no server ran yet queues like any other call.
     if history.runs() == 0 || is_resuming(call.route, history) {
-        return room::enter(node, call, pick).await;
+        return admission::enter(node, call, pick).await;
     }
     match pick(SlotNeed::One) {
         Some(guard) => Ok(guard),
-        None if room::may_try_again(node, call, AttemptReason::Retry) => pick(SlotNeed::Any).ok_or(None),
+        None if admission::may_try_again(node, call, AttemptReason::Retry) => pick(SlotNeed::Any).ok_or(None),
         None => Err(None),
     }
 }
@@ -227,7 +227,7 @@
 pub fn record_latency(node: &EntryNode, route: &RequestRoute, request: &ClientRequest, took: Duration) {
     let id = request.id();
     if let Some(service) = route.service_for(id)
-        && room::is_active(node, service)
+        && admission::is_active(node, service)
     {
         node.balancer.lock().unwrap().record_latency(service, took);
     }
--- a/crates/trestlerackd/src/entry/score_calls.rs
+++ b/crates/trestlerackd/src/entry/score_calls.rs
@@ -1,11 +1,11 @@
 //! Calls to scoring services, which are repeatable.
 
+use super::admission::{self, RoomCall};
 use super::attempt::{self, AttemptError};
 use super::in_flight::InFlightGuard;
 use super::node::EntryNode;
-use super::room::{self, RoomCall};
 use super::server_responses::{self, ResponseTimer};
-use super::{plain, second_attempts, shares, suspects, urgency};
+use super::{engine_priority, hedging, plain, shares, suspects};
 use crate::process::clock;
 use crate::process::logs;
 use futures_util::StreamExt;
@@ -84,20 +84,20 @@
     let Some(route) = routing.select(&call.host, &call.path) else { return ScoreOutcome::NoResponse };
     let Some(service) = route.service_for(&call.id) else { return ScoreOutcome::NoResponse };
     let deadline = node.now() + plain::time_limit(route, None);
-    let priority = urgency::of_score(&routing, route, service, customer);
+    let priority = engine_priority::of_score(&routing, route, service, customer);
     let fingerprint = fingerprint(call);
     let (kind, arrived) = (CallKind::Score, node.now());
     let directory = routing.customers.as_ref();
     let customer = customer.and_then(|name| directory?.get(name));
     let service_call = RoomCall { id: &call.id, service, route, customer, kind, arrived, deadline };
-    let uses_admission = room::is_active(node, service);
+    let uses_admission = admission::is_active(node, service);
     let mut attempts = FuturesUnordered::new();
     let mut timers: Vec<ResponseTimer> = Vec::new();
     let mut next_at = node.now();
     let mut hedge_at = None;
     let (mut is_probe, mut is_hedge) = (false, false);
     if uses_admission {
-        room::note_call(node, &service_call);
+        admission::note_call(node, &service_call);
     }
     loop {
         if attempts.is_empty()
@@ -120,13 +120,13 @@
         if let Some(guard) = guard {
             tried.push(guard.server.instance.clone());
             timers.push(ResponseTimer::start(node));
-            is_probe = second_attempts::is_trial(node, &guard.server.instance);
+            is_probe = hedging::is_trial(node, &guard.server.instance);
             attempts.push(send_score_call(node, call, route, guard, deadline, priority));
         }
         if is_due {
             is_hedge = false;
             next_at = node.now() + overdue_threshold(node, service, route);
-            hedge_at = second_attempts::after(node, route, service).map(|delay| node.now() + delay);
+            hedge_at = hedging::after(node, route, service).map(|delay| node.now() + delay);
         }
         let wake_at = hedge_at.map_or(next_at, |hedge_at| next_at.min(hedge_at));
         let ended = match attempts.len() {
@@ -146,7 +146,7 @@
             Ok(Some((_, ScoreOutcome::NoResponse))) => next_at = node.now(),
             Err(_) => {
                 is_hedge = hedge_at.take_if(|hedge_at| *hedge_at < next_at).is_some();
-                if is_hedge && second_attempts::has_place(node, service) {
+                if is_hedge && hedging::has_place(node, service) {
                     next_at = node.now();
                 }
             }
@@ -171,10 +171,10 @@
     pick: impl Fn(SlotNeed) -> Option<InFlightGuard>,
 ) -> Option<InFlightGuard> {
     if is_first {
-        return room::enter(node, call, pick).await.ok();
+        return admission::enter(node, call, pick).await.ok();
     }
     let guard = pick(SlotNeed::One)?;
-    (skips_budget || room::may_try_again(node, call, AttemptReason::Hedge)).then_some(guard)
+    (skips_budget || admission::may_try_again(node, call, AttemptReason::Hedge)).then_some(guard)
 }
 
 fn pick_server(
--- a/crates/trestlerackd/src/entry/server_discovery.rs
+++ b/crates/trestlerackd/src/entry/server_discovery.rs
@@ -1,7 +1,7 @@
 //! Applies the entries of service discovery to the registry and the load balancer.
 
 use super::node::EntryNode;
-use super::{room, suspects};
+use super::{admission, suspects};
 use crate::process::logs;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -175,7 +175,7 @@
         }
     }
     node.follower.relay(changes.rows);
-    room::servers_changed(node);
+    admission::servers_changed(node);
 }
 
 fn is_only_heartbeat(previous: &ServerEntry, entry: &ServerEntry) -> bool {
--- a/crates/trestlerackd/src/entry/status.rs
+++ b/crates/trestlerackd/src/entry/status.rs
@@ -5,9 +5,9 @@
 //! Responses are JSON and are built from the state of the node, without a call to the store. They contain no
 //! API keys; [docs/API.md](../../../../docs/API.md#entry-nodes) has the fields.
 
-use super::held;
+use super::admission;
 use super::node::EntryNode;
-use super::room;
+use super::resource_limits;
 use serde::Serialize;
 use std::time::Duration;
 use trestlerack::Name;
@@ -128,9 +128,9 @@
         DUTIES_PATH => serde_json::to_vec(&duties(node)),
         SUSPECTS_PATH => serde_json::to_vec(&suspects(node)),
         SERVERS_PATH => serde_json::to_vec(&servers(node)),
-        ADMISSION_PATH => serde_json::to_vec(&room::lines(node)),
+        ADMISSION_PATH => serde_json::to_vec(&admission::lines(node)),
         FOLLOWER_PATH => serde_json::to_vec(&[follower(node)]),
-        MEMORY_PATH => serde_json::to_vec(&held::memory_lines(&node.held)),
+        MEMORY_PATH => serde_json::to_vec(&resource_limits::memory_lines(&node.held)),
         _ => return None,
     };
     body.ok()
--- a/crates/trestlerackd/src/entry/streams.rs
+++ b/crates/trestlerackd/src/entry/streams.rs
@@ -5,7 +5,7 @@
 use super::node::EntryNode;
 use super::plain::{self, RequestFailure};
 use super::request_history::RequestHistory;
-use super::{crash_detection, suspects, urgency};
+use super::{crash_detection, engine_priority, suspects};
 use crate::process::clock;
 use bytes::Bytes;
 use futures_util::stream;
@@ -103,7 +103,7 @@
         let mut engine_request = plain::engine_request(request, &instance, left);
         engine_request.resume_after = resume_after;
         let service = &guard.server.service;
-        engine_request.priority = urgency::of_request(node, route, service, request, left, resume_after);
+        engine_request.priority = engine_priority::of_request(node, route, service, request, left, resume_after);
         let opening = attempt::open_response(node, guard, engine_request, !route.resumable);
         match clock::timeout(left, opening).await {
             Ok(Ok(answer)) => {
