--- a/crates/trestlerackd/src/entry/attempt.rs
+++ b/crates/trestlerackd/src/entry/attempt.rs
@@ -185,7 +185,7 @@
     let request_id = request.request_id.to_owned();
     let exchange = async {
         let open = open_answer(node, ticket, request, wants_fresh).await?;
-        let body = resource_limits::read_answer(node, &request_id, open.body, MAX_ANSWER).await;
+        let body = resource_limits::read_response(node, &request_id, open.body, MAX_ANSWER).await;
         let Some((body, held)) = body else {
             node.board.lock().unwrap().failed(node.now(), &instance);
             server_end::connection_broke(node, &open.ticket, &request_id).await;
@@ -202,7 +202,7 @@
         Ok(answer) => answer,
         Err(_) => {
             // A server whose answer waits for room here is not to blame.
-            if !node.held.is_pressed() {
+            if !node.resource_limits.is_near_limit() {
                 node.board.lock().unwrap().failed(node.now(), &instance);
             }
             Err(AttemptError::MayHaveRun("no whole answer in time".into()))
--- a/crates/trestlerackd/src/entry/client_connections.rs
+++ b/crates/trestlerackd/src/entry/client_connections.rs
@@ -2,7 +2,7 @@
 
 use super::front;
 use super::node::EntryNode;
-use super::resource_limits::{Admission, ClientLink, LinkSeat, LinkedBody, WatchedStream};
+use super::resource_limits::{ClientConnection, ConnectionAdmission, ConnectionGuard, TrackedBody, WatchedStream};
 use crate::process::clock;
 use http::{HeaderValue, Response, header};
 use hyper::Request;
@@ -17,118 +17,123 @@
 use tokio::sync::watch;
 use trestlerack_platform as platform;
 
-/// Time that an idle connection of a client stays open before a configuration says otherwise.
-const DEFAULT_IDLE: Duration = Duration::from_secs(15);
+/// Time for which an idle connection of a client stays open while no configuration is known.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Longest head of a request, in bytes; configurations seen allow 16 KiB.
-const MAX_HEADER: usize = 32 * 1024;
+/// Maximum size of the request line and headers, in bytes. Known configurations allow 16 KiB.
+const MAX_HEADER_BYTES: usize = 32 * 1024;
 
-/// Time after which a client is told to return for whose connection there is no descriptor: by then
-/// some of the others are idle.
-const FULL_RETURN: Duration = Duration::from_millis(500);
+/// Delay after which a client is told to retry if the limit on connections is reached. By then some of the
+/// other connections are idle.
+const FULL_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Time for the request of a connection that is refused.
-const FULL_HEADER_TIME: Duration = Duration::from_secs(1);
+/// Time limit for the first request on a connection that is refused.
+const REFUSED_HEADER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Pause after a connection could not be accepted, as when the process has no descriptor left.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+/// Delay before the next attempt after `accept` failed, for example because the process has no file
+/// descriptor left.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// What is done with the requests of a connection.
+/// How the requests of a connection are handled.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum LinkService {
-    /// They are served.
+enum RequestHandling {
+    /// Requests are served.
     Serve,
-    /// The first is refused, which ends the connection.
+    /// The first request is refused, which closes the connection.
     Refuse,
 }
 
-/// Accepts clients until the planned stop closes the node.
+/// Accepts connections of clients for as long as the process runs; the planned stop closes them.
 pub async fn serve(node: Arc<EntryNode>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            clock::sleep(ACCEPT_PAUSE).await;
+            clock::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        match node.held.admit(node.now()) {
-            Admission::Serve(seat) => tokio::spawn(serve_client(node.clone(), seat, stream, LinkService::Serve)),
-            Admission::Refuse(seat) => tokio::spawn(serve_client(node.clone(), seat, stream, LinkService::Refuse)),
-            Admission::Close => continue,
+        match node.resource_limits.admit(node.now()) {
+            ConnectionAdmission::Serve(guard) => {
+                tokio::spawn(serve_client(node.clone(), guard, stream, RequestHandling::Serve))
+            }
+            ConnectionAdmission::Refuse(guard) => {
+                tokio::spawn(serve_client(node.clone(), guard, stream, RequestHandling::Refuse))
+            }
+            ConnectionAdmission::Close => continue,
         };
-        // Connections that were closed for others free their descriptors in between.
+        // Lets the tasks of connections that were closed in favour of others release their permits.
         tokio::task::yield_now().await;
     }
 }
 
-async fn serve_client(node: Arc<EntryNode>, seat: LinkSeat, stream: TcpStream, service: LinkService) {
+async fn serve_client(node: Arc<EntryNode>, guard: ConnectionGuard, stream: TcpStream, handling: RequestHandling) {
     super::pool::prepare(&stream);
     node.client_connections.fetch_add(1, Ordering::Relaxed);
-    let idle = match service {
-        LinkService::Serve => {
-            node.routing().map_or(DEFAULT_IDLE, |table| Duration::from_millis(table.limits.idle_timeout_ms))
+    let header_timeout = match handling {
+        RequestHandling::Serve => {
+            node.routing().map_or(DEFAULT_IDLE_TIMEOUT, |table| Duration::from_millis(table.limits.idle_timeout_ms))
         }
-        LinkService::Refuse => FULL_HEADER_TIME,
+        RequestHandling::Refuse => REFUSED_HEADER_TIMEOUT,
     };
     let mut closing = node.closing.subscribe();
-    let (handler_node, handler_link) = (node.clone(), seat.link.clone());
+    let (handler_node, handler_connection) = (node.clone(), guard.connection.clone());
     let handler = service_fn(move |request: Request<Incoming>| {
-        let (node, link) = (handler_node.clone(), handler_link.clone());
-        // Boxed, because the connection keeps room for it also while it is idle.
-        Box::pin(async move { Ok::<_, Infallible>(answer(&node, &link, request, service).await) })
+        let (node, connection) = (handler_node.clone(), handler_connection.clone());
+        // Boxed, because the connection would otherwise reserve memory for the future while it is idle.
+        Box::pin(async move { Ok::<_, Infallible>(answer(&node, &connection, request, handling).await) })
     });
-    let watched = WatchedStream::new(node.clone(), seat.link.clone(), stream);
+    let stream = WatchedStream::new(node.clone(), guard.connection.clone(), stream);
     let connection = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(idle)
-        .max_buf_size(MAX_HEADER)
-        .serve_connection(TokioIo::new(watched), handler);
+        .header_read_timeout(header_timeout)
+        .max_buf_size(MAX_HEADER_BYTES)
+        .serve_connection(TokioIo::new(stream), handler);
     tokio::pin!(connection);
     let end = tokio::select! {
-        // A client that breaks its connection has nobody left to tell.
-        _ = connection.as_mut() => LinkEnd::Ended,
-        () = wait_true(&mut closing) => LinkEnd::Leave,
-        () = seat.link.leave.notified() => LinkEnd::Leave,
-        () = seat.link.cut.notified() => LinkEnd::Ended,
+        // The error of a broken connection is ignored, since no client is left to answer.
+        _ = connection.as_mut() => ConnectionEnd::Immediate,
+        () = wait_until_true(&mut closing) => ConnectionEnd::AfterRequest,
+        () = guard.connection.close_when_done.notified() => ConnectionEnd::AfterRequest,
+        () = guard.connection.close_now.notified() => ConnectionEnd::Immediate,
     };
-    if matches!(end, LinkEnd::Leave) {
+    if matches!(end, ConnectionEnd::AfterRequest) {
         connection.as_mut().graceful_shutdown();
         tokio::select! {
             _ = connection.as_mut() => {}
-            () = seat.link.cut.notified() => {}
+            () = guard.connection.close_now.notified() => {}
         }
     }
     node.client_connections.fetch_sub(1, Ordering::Relaxed);
 }
 
-/// Why a connection is no longer served.
-enum LinkEnd {
-    /// It has ended, or is to end at once.
-    Ended,
-    /// It ends after what is served on it.
-    Leave,
+/// How a connection is closed.
+enum ConnectionEnd {
+    /// It has closed already, or is closed at once.
+    Immediate,
+    /// It is closed after the request that is being served.
+    AfterRequest,
 }
 
-async fn wait_true(flag: &mut watch::Receiver<bool>) {
-    // The sender lives as long as the node, so this ends only when the value turns true.
+async fn wait_until_true(flag: &mut watch::Receiver<bool>) {
+    // The sender lives as long as the node, so the wait ends only when the value becomes true.
     let _ = flag.wait_for(|value| *value).await;
 }
 
 async fn answer(
     node: &Arc<EntryNode>,
-    link: &Arc<ClientLink>,
+    connection: &Arc<ClientConnection>,
     request: Request<Incoming>,
-    service: LinkService,
+    handling: RequestHandling,
 ) -> Response<front::ReplyBody> {
-    link.set_busy();
-    let reply = match service {
-        LinkService::Serve => front::answer(node, request).await,
-        LinkService::Refuse => refuse(&request),
+    connection.set_busy();
+    let reply = match handling {
+        RequestHandling::Serve => front::answer(node, request).await,
+        RequestHandling::Refuse => refuse(&request),
     };
-    LinkedBody::wrap(node, link, reply)
+    TrackedBody::wrap(node, connection, reply)
 }
 
 fn refuse(request: &Request<Incoming>) -> Response<front::ReplyBody> {
     let head = platform::decode_client_head(request.headers());
-    let mut reply = platform::not_run_reply(head.request_id.as_ref(), FULL_RETURN).map(front::full_reply);
+    let mut reply = platform::not_run_reply(head.request_id.as_ref(), FULL_RETRY_DELAY).map(front::full_reply);
     reply.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     reply
 }
--- a/crates/trestlerackd/src/entry/front.rs
+++ b/crates/trestlerackd/src/entry/front.rs
@@ -2,7 +2,7 @@
 
 use super::callers::{self, CallerAnswer};
 use super::node::EntryNode;
-use super::resource_limits::{self, BodyRefusal};
+use super::resource_limits::{self, BodyError};
 use super::{job_accept, job_calls, plain};
 use crate::process::logs;
 use bytes::Bytes;
@@ -114,7 +114,7 @@
         head,
         caller: CallerVerdict::Unknown,
         body: Bytes::new(),
-        held: node.held.ledger.reserve(MemoryPurpose::Bodies, 0),
+        held: node.resource_limits.memory.reserve(MemoryPurpose::Bodies, 0),
     };
     if let Err(refusal) = take_body(node, &routing, &mut request, body).await {
         return refusal;
@@ -158,19 +158,19 @@
     }
 }
 
-fn refuse_body(id: Option<&Name>, refusal: &BodyRefusal) -> Response<ReplyBody> {
+fn refuse_body(id: Option<&Name>, refusal: &BodyError) -> Response<ReplyBody> {
     let mut reply = match refusal {
-        BodyRefusal::TooLarge => {
+        BodyError::TooLarge => {
             let why = "the body is too large";
             logs::write(event::REQUEST_REFUSED, &[("request", &or_empty(&id.cloned())), ("why", &why)]);
             return own_reply(StatusCode::PAYLOAD_TOO_LARGE, id);
         }
-        BodyRefusal::Broken(why) => {
+        BodyError::Broken(why) => {
             logs::write(event::REQUEST_REFUSED, &[("request", &or_empty(&id.cloned())), ("why", why)]);
             return own_reply(StatusCode::BAD_REQUEST, id);
         }
-        BodyRefusal::NoRoom => return platform::not_run_reply(id, ROOM_RETURN).map(full_reply),
-        BodyRefusal::TooSlow => own_reply(StatusCode::REQUEST_TIMEOUT, id),
+        BodyError::MemoryExhausted => return platform::not_run_reply(id, ROOM_RETURN).map(full_reply),
+        BodyError::TooSlow => own_reply(StatusCode::REQUEST_TIMEOUT, id),
     };
     reply.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     reply
--- a/crates/trestlerackd/src/entry/job_accept.rs
+++ b/crates/trestlerackd/src/entry/job_accept.rs
@@ -83,7 +83,7 @@
         return known_job(&view.head, view.version, spec, customer);
     }
     let content = tables::encode(&**spec);
-    let mut held = node.held.ledger.reserve(MemoryPurpose::Texts, spec.bytes() + content.len());
+    let mut held = node.resource_limits.memory.reserve(MemoryPurpose::Texts, spec.bytes() + content.len());
     if let Some(customer) = customer {
         held.set_customer(customer);
     }
--- a/crates/trestlerackd/src/entry/node.rs
+++ b/crates/trestlerackd/src/entry/node.rs
@@ -9,7 +9,7 @@
 use super::metrics::EntryMetrics;
 use super::peers::PeerClient;
 use super::pool::ConnectionPool;
-use super::resource_limits::HeldDesk;
+use super::resource_limits::ResourceLimiter;
 use super::shares::ShareDesk;
 use super::store::{DirectStore, RelayedStore};
 use super::suspects::SuspectDesk;
@@ -137,7 +137,7 @@
     /// Whether connections of clients are to end.
     pub closing: watch::Sender<bool>,
     /// What is held for callers, and the bounds of it.
-    pub held: Arc<HeldDesk>,
+    pub resource_limits: Arc<ResourceLimiter>,
     /// Open connections of clients.
     pub client_connections: AtomicUsize,
     writes: AtomicU64,
@@ -148,8 +148,8 @@
     pub fn open(settings: EntrySettings) -> anyhow::Result<Self> {
         let clock = SystemClock::new();
         let now = clock.now();
-        let held = Arc::new(HeldDesk::new(&settings));
-        let pool = Arc::new(ConnectionPool::new(held.descriptors.clone(), settings.store.clone()));
+        let resource_limits = Arc::new(ResourceLimiter::new(&settings));
+        let pool = Arc::new(ConnectionPool::new(resource_limits.connections.clone(), settings.store.clone()));
         let peers = Arc::new(PeerClient::new(pool.clone(), settings.peer_listen.clone(), settings.seeds.clone()));
         let direct_store = Arc::new(DirectStore::new(pool.clone(), settings.store.clone()));
         Ok(Self {
@@ -187,7 +187,7 @@
             tracer: start_tracer(&settings.otlp_endpoint)?,
             stopping: watch::channel(false).0,
             closing: watch::channel(false).0,
-            held,
+            resource_limits,
             client_connections: AtomicUsize::new(0),
             writes: AtomicU64::new(1),
             settings,
--- a/crates/trestlerackd/src/entry/peers.rs
+++ b/crates/trestlerackd/src/entry/peers.rs
@@ -5,7 +5,7 @@
 use super::news;
 use super::node::EntryNode;
 use super::pool::ConnectionPool;
-use super::resource_limits::HeldDecision;
+use super::resource_limits::LimitDecision;
 use super::suspects;
 use crate::process::clock::{self, SystemClock};
 use bytes::Bytes;
@@ -301,11 +301,11 @@
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
         // A peer whose connection is closed asks another one.
-        let Some(seat) = node.held.descriptors.try_acquire(ConnectionKind::Peers) else {
+        let Some(seat) = node.resource_limits.connections.try_acquire(ConnectionKind::Peers) else {
             let (kind, why) = (ConnectionKind::Peers.as_str(), "the part of the peers is used up");
-            let open = node.held.descriptors.open(ConnectionKind::Peers);
+            let open = node.resource_limits.connections.open(ConnectionKind::Peers);
             let fields: [(&str, &dyn std::fmt::Display); 3] = [("kind", &kind), ("why", &why), ("open", &open)];
-            node.held.note(node.now(), HeldDecision::ConnectionsFull, &fields);
+            node.resource_limits.record(node.now(), LimitDecision::ConnectionsFull, &fields);
             continue;
         };
         tokio::spawn(serve_peer(node.clone(), seat, stream));
@@ -336,7 +336,7 @@
 
 async fn answer(node: &Arc<EntryNode>, request: Request<Incoming>) -> Option<Bytes> {
     let body = Limited::new(request.into_body(), MAX_MESSAGE).collect().await.ok()?.to_bytes();
-    let _held = node.held.ledger.reserve(MemoryPurpose::Peers, body.len());
+    let _held = node.resource_limits.memory.reserve(MemoryPurpose::Peers, body.len());
     let call: PeerCall = ciborium::from_reader(&body[..]).ok()?;
     let reply = match call {
         PeerCall::Relay(call) => {
--- a/crates/trestlerackd/src/entry/plain.rs
+++ b/crates/trestlerackd/src/entry/plain.rs
@@ -4,7 +4,7 @@
 use super::attempt::WholeAnswer;
 use super::front::{ClientRequest, ReplyBody, full_reply};
 use super::node::EntryNode;
-use super::resource_limits::AnswerBytes;
+use super::resource_limits::ResponseReservation;
 use super::server_ticket::ServerTicket;
 use super::trail::RequestTrail;
 use super::{attempts, choice_log, engine_memory, shares, streams, suspects};
@@ -119,7 +119,7 @@
     let mut reply = Response::new(full_reply(answer.body));
     *reply.status_mut() = answer.status;
     copy_headers(&answer.headers, reply.headers_mut());
-    reply.extensions_mut().insert(AnswerBytes::new(answer.held));
+    reply.extensions_mut().insert(ResponseReservation::new(answer.held));
     reply
 }
 
--- a/crates/trestlerackd/src/entry/resource_limits/body_reader.rs
+++ b/crates/trestlerackd/src/entry/resource_limits/body_reader.rs
@@ -1,7 +1,8 @@
-//! Reads the bodies of requests: bytes are taken from the ledger first, and have to come at a least rate.
+//! Reads request bodies. Memory is reserved before the bytes are read, and the bytes have to arrive at a
+//! minimum rate.
 
-use super::uploads::BodyPlace;
-use super::{HeldDecision, HeldDesk};
+use super::uploads::UploadGuard;
+use super::{LimitDecision, ResourceLimiter};
 use crate::entry::node::EntryNode;
 use crate::process::clock;
 use bytes::{Bytes, BytesMut};
@@ -14,65 +15,65 @@
 use trestlerack::process::{MemoryPurpose, MemoryReservation, ReserveError, SMALL_BYTES, UploadProgress};
 use trestlerack::{Name, Timestamp};
 
-/// Bytes by which a body without a length grows.
-const GROWTH: usize = 32 * 1024;
+/// Bytes by which the reservation of a body without a declared length grows.
+const GROWTH_BYTES: usize = 32 * 1024;
 
-/// Time for which the rest of a refused body is read and dropped, so that its sender comes to read the
-/// answer; a connection that is closed with bytes unread is reset, and the answer with it.
-const DISCARD_TIME: Duration = Duration::from_secs(1);
+/// Time for which the rest of a refused body is read and discarded, so that the client gets to read the
+/// reply. A connection that is closed with unread bytes is reset, and the reply is lost.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time in which bytes that wait at this node are found before their sender is called slow; a node that
-/// was suspended or busy has them in its socket.
-const ARRIVAL_TIME: Duration = Duration::from_millis(50);
+/// Time for which the socket is read once more before a client is treated as too slow. After this node
+/// was suspended or busy, bytes that arrived in time are still in its socket.
+const SOCKET_DRAIN_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Why a body was not read.
+/// Why a request body could not be read.
 #[derive(Debug)]
-pub enum BodyRefusal {
-    /// It is longer than a body may be.
+pub enum BodyError {
+    /// The body is longer than allowed.
     TooLarge,
-    /// There is no room for it now.
-    NoRoom,
-    /// It came too slowly.
+    /// No memory is available for the body now.
+    MemoryExhausted,
+    /// The body arrived too slowly.
     TooSlow,
-    /// Its connection broke, or it is no body.
+    /// The connection broke, or the body is malformed.
     Broken(String),
 }
 
-/// A body as it is read.
+/// A request body that is being read.
 struct BodyReader<'a> {
-    desk: &'a HeldDesk,
-    most: usize,
+    limiter: &'a ResourceLimiter,
+    max_bytes: usize,
     bytes: BytesMut,
-    held: MemoryReservation,
-    pace: UploadProgress,
-    place: Option<BodyPlace<'a>>,
+    reservation: MemoryReservation,
+    progress: UploadProgress,
+    upload: Option<UploadGuard<'a>>,
 }
 
-/// Reads a body of `most` bytes at most, which has to be there within `limit`.
+/// Reads a body of at most `max_bytes` bytes, which has to arrive within `limit`.
 pub async fn read_body(
     node: &Arc<EntryNode>,
     id: &Name,
     mut body: Incoming,
-    most: usize,
+    max_bytes: usize,
     limit: Duration,
-) -> Result<(Bytes, MemoryReservation), BodyRefusal> {
-    let desk = &*node.held;
-    let held = desk.ledger.reserve(MemoryPurpose::Bodies, 0);
+) -> Result<(Bytes, MemoryReservation), BodyError> {
+    let limiter = &*node.resource_limits;
+    let reservation = limiter.memory.reserve(MemoryPurpose::Bodies, 0);
     if body.is_end_stream() {
-        return Ok((Bytes::new(), held));
+        return Ok((Bytes::new(), reservation));
     }
     let now = node.now();
-    let pace = UploadProgress::start(now, limit);
-    let mut reader = BodyReader { desk, most, bytes: BytesMut::new(), held, pace, place: None };
-    let stated = body.size_hint().exact().map(|length| usize::try_from(length).unwrap_or(usize::MAX));
-    let outcome = match reader.begin(now, stated) {
+    let progress = UploadProgress::start(now, limit);
+    let mut reader = BodyReader { limiter, max_bytes, bytes: BytesMut::new(), reservation, progress, upload: None };
+    let declared = body.size_hint().exact().map(|length| usize::try_from(length).unwrap_or(usize::MAX));
+    let outcome = match reader.reserve_declared(now, declared) {
         Ok(()) => reader.read(node, &mut body).await,
-        Err(refusal) => Err(refusal),
+        Err(error) => Err(error),
     };
-    let Err(refusal) = outcome else { return Ok((reader.bytes.freeze(), reader.held)) };
-    reader.tell(node.now(), id, stated, &refusal);
-    tokio::spawn(clock::timeout(DISCARD_TIME, discard(body)));
-    Err(refusal)
+    let Err(error) = outcome else { return Ok((reader.bytes.freeze(), reader.reservation)) };
+    reader.log_error(node.now(), id, declared, &error);
+    tokio::spawn(clock::timeout(DISCARD_TIMEOUT, discard(body)));
+    Err(error)
 }
 
 async fn discard(mut body: Incoming) {
@@ -80,54 +81,55 @@
 }
 
 impl BodyReader<'_> {
-    /// Takes the stated length before anything is read.
-    fn begin(&mut self, now: Timestamp, stated: Option<usize>) -> Result<(), BodyRefusal> {
-        if stated.is_some_and(|length| length > self.most) {
-            return Err(BodyRefusal::TooLarge);
+    /// Reserves memory for the declared length before anything is read.
+    fn reserve_declared(&mut self, now: Timestamp, declared: Option<usize>) -> Result<(), BodyError> {
+        if declared.is_some_and(|length| length > self.max_bytes) {
+            return Err(BodyError::TooLarge);
         }
-        self.make_room(now, stated.unwrap_or(GROWTH))
+        self.reserve(now, declared.unwrap_or(GROWTH_BYTES))
     }
 
-    /// Takes `more` bytes and makes their place; pages of it that nothing was written to cost nothing.
-    fn make_room(&mut self, now: Timestamp, more: usize) -> Result<(), BodyRefusal> {
-        let length = self.held.bytes().saturating_add(more);
-        let taken = self.held.try_grow(more);
-        self.relieve(now);
-        taken.map_err(|refusal| match refusal {
-            ReserveError::TooLarge => BodyRefusal::TooLarge,
-            ReserveError::Exhausted => BodyRefusal::NoRoom,
+    /// Reserves `more` bytes and grows the buffer by them. Pages of the buffer that were never written to take
+    /// no physical memory.
+    fn reserve(&mut self, now: Timestamp, more: usize) -> Result<(), BodyError> {
+        let length = self.reservation.bytes().saturating_add(more);
+        let result = self.reservation.try_grow(more);
+        self.refuse_large_upload(now);
+        result.map_err(|error| match error {
+            ReserveError::TooLarge => BodyError::TooLarge,
+            ReserveError::Exhausted => BodyError::MemoryExhausted,
         })?;
         self.bytes.reserve(length - self.bytes.len());
-        if self.desk.is_bounded() && length > SMALL_BYTES {
-            let place = self.place.get_or_insert_with(|| self.desk.bodies.enter(now));
-            place.watch.held.store(length, Ordering::Relaxed);
+        if self.limiter.is_bounded() && length > SMALL_BYTES {
+            let upload = self.upload.get_or_insert_with(|| self.limiter.uploads.register(now));
+            upload.state.reserved.store(length, Ordering::Relaxed);
         }
         Ok(())
     }
 
-    /// Where what is held nears its bound, has a large sender refused.
-    fn relieve(&self, now: Timestamp) {
-        if self.held.bytes() > SMALL_BYTES && self.desk.is_pressed() {
-            self.desk.bodies.relieve(now);
+    /// Refuses a large upload if this body is large and the reserved memory is near its limit.
+    fn refuse_large_upload(&self, now: Timestamp) {
+        if self.reservation.bytes() > SMALL_BYTES && self.limiter.is_near_limit() {
+            self.limiter.uploads.refuse_one(now);
         }
     }
 
-    async fn read(&mut self, node: &EntryNode, body: &mut Incoming) -> Result<(), BodyRefusal> {
+    async fn read(&mut self, node: &EntryNode, body: &mut Incoming) -> Result<(), BodyError> {
         while let Some(frame) = self.next_frame(node, body).await? {
-            let frame = frame.map_err(|error| BodyRefusal::Broken(error.to_string()))?;
+            let frame = frame.map_err(|error| BodyError::Broken(error.to_string()))?;
             let Ok(data) = frame.into_data() else { continue };
             let now = node.now();
             let length = self.bytes.len() + data.len();
-            if length > self.most {
-                return Err(BodyRefusal::TooLarge);
+            if length > self.max_bytes {
+                return Err(BodyError::TooLarge);
             }
-            if length > self.held.bytes() {
-                self.make_room(now, GROWTH.max(data.len()))?;
+            if length > self.reservation.bytes() {
+                self.reserve(now, GROWTH_BYTES.max(data.len()))?;
             }
             self.bytes.extend_from_slice(&data);
-            self.pace.record(now, data.len());
-            if let Some(place) = &self.place {
-                place.watch.received.store(length, Ordering::Relaxed);
+            self.progress.record(now, data.len());
+            if let Some(upload) = &self.upload {
+                upload.state.received.store(length, Ordering::Relaxed);
             }
         }
         Ok(())
@@ -138,53 +140,53 @@
         &self,
         node: &EntryNode,
         body: &mut Incoming,
-    ) -> Result<Option<Result<hyper::body::Frame<Bytes>, hyper::Error>>, BodyRefusal> {
+    ) -> Result<Option<Result<hyper::body::Frame<Bytes>, hyper::Error>>, BodyError> {
         if body.is_end_stream() {
             return Ok(None);
         }
-        // Most bodies came with their heads, and need no timer.
+        // Most bodies arrive together with their headers and need no timer.
         if let Some(frame) = body.frame().now_or_never() {
             return Ok(frame);
         }
-        if !self.desk.is_bounded() {
+        if !self.limiter.is_bounded() {
             return Ok(body.frame().await);
         }
-        let left = self.pace.due().since(node.now());
+        let left = self.progress.due().since(node.now());
         let refused = async {
-            match &self.place {
-                Some(place) => place.watch.refused.notified().await,
+            match &self.upload {
+                Some(upload) => upload.state.refused.notified().await,
                 None => std::future::pending().await,
             }
         };
         tokio::select! {
             biased;
             frame = clock::timeout(left, body.frame()) => if let Ok(frame) = frame { return Ok(frame) },
-            () = refused => return Err(BodyRefusal::NoRoom),
+            () = refused => return Err(BodyError::MemoryExhausted),
         }
-        clock::timeout(ARRIVAL_TIME, body.frame()).await.map_err(|_| BodyRefusal::TooSlow)
+        clock::timeout(SOCKET_DRAIN_TIMEOUT, body.frame()).await.map_err(|_| BodyError::TooSlow)
     }
 
-    fn tell(&self, now: Timestamp, id: &Name, stated: Option<usize>, refusal: &BodyRefusal) {
-        let (received, held) = (self.bytes.len(), self.held.bytes());
-        match refusal {
-            BodyRefusal::NoRoom if received == 0 => {
-                let bytes = stated.unwrap_or(GROWTH);
-                let (held, bound) = (self.desk.ledger.total(), self.desk.ledger.limits().total);
-                self.desk.note(
+    fn log_error(&self, now: Timestamp, id: &Name, declared: Option<usize>, error: &BodyError) {
+        let (received, reserved) = (self.bytes.len(), self.reservation.bytes());
+        match error {
+            BodyError::MemoryExhausted if received == 0 => {
+                let bytes = declared.unwrap_or(GROWTH_BYTES);
+                let (total, max_total) = (self.limiter.memory.total(), self.limiter.memory.limits().total);
+                self.limiter.record(
                     now,
-                    HeldDecision::BodyRefused,
-                    &[("request", id), ("bytes", &bytes), ("held", &held), ("bound", &bound)],
+                    LimitDecision::BodyRefused,
+                    &[("request", id), ("bytes", &bytes), ("held", &total), ("bound", &max_total)],
                 );
             }
-            BodyRefusal::NoRoom | BodyRefusal::TooSlow => {
-                let why = if matches!(refusal, BodyRefusal::TooSlow) { "too slow" } else { "no room" };
-                self.desk.note(
+            BodyError::MemoryExhausted | BodyError::TooSlow => {
+                let why = if matches!(error, BodyError::TooSlow) { "too slow" } else { "no memory left" };
+                self.limiter.record(
                     now,
-                    HeldDecision::SenderCut,
-                    &[("request", id), ("why", &why), ("received", &received), ("held", &held)],
+                    LimitDecision::UploadAborted,
+                    &[("request", id), ("why", &why), ("received", &received), ("held", &reserved)],
                 );
             }
-            BodyRefusal::TooLarge | BodyRefusal::Broken(_) => {}
+            BodyError::TooLarge | BodyError::Broken(_) => {}
         }
     }
 }
--- a/crates/trestlerackd/src/entry/resource_limits/connection_table.rs
+++ b/crates/trestlerackd/src/entry/resource_limits/connection_table.rs
@@ -1,6 +1,6 @@
-//! Connections of clients: which are idle, and whose reply waits for its reader.
+//! Connections of clients: which ones are idle, and which ones have a stalled download.
 
-use super::{HeldDecision, HeldDesk};
+use super::{LimitDecision, ResourceLimiter};
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
@@ -11,165 +11,172 @@
     REQUEST_BYTES, download_to_close, longest_idle,
 };
 
-/// Connections beyond the bound that are told to come again; any more are closed.
-const TOLD_CONNECTIONS: usize = 32;
+/// Connections beyond the limit whose first request is answered with a refusal; any further ones are closed
+/// without a reply.
+const MAX_REFUSED_CONNECTIONS: usize = 32;
 
-/// Stands for no time.
+/// Value of a time in milliseconds that is not set.
 const NEVER: u64 = u64::MAX;
 
-/// A connection of a client.
-pub struct ClientLink {
+/// State of a connection of a client.
+pub struct ClientConnection {
     id: u64,
-    /// When it became idle, in milliseconds; [`NEVER`] while a request is served.
+    /// When the connection became idle, in milliseconds; [`NEVER`] while a request is served.
     idle_since: AtomicU64,
     is_used: AtomicBool,
-    /// Since when its client takes nothing of what is written; [`NEVER`] while it does.
-    waits_since: AtomicU64,
-    /// Bytes of its reply that are held.
+    /// Since when the client has read nothing of the reply, in milliseconds; [`NEVER`] while it reads.
+    stalled_since: AtomicU64,
+    /// Bytes of the reply that are in memory.
     reply_bytes: AtomicUsize,
-    /// Count of what the connection and its request cost.
-    held: Mutex<MemoryReservation>,
-    /// Ends the connection once nothing is served on it.
-    pub leave: Notify,
-    /// Ends the connection at once.
-    pub cut: Notify,
+    /// Memory of the connection and its request.
+    reservation: Mutex<MemoryReservation>,
+    /// Notified to close the connection once no request is served on it.
+    pub close_when_done: Notify,
+    /// Notified to close the connection at once.
+    pub close_now: Notify,
 }
 
-impl ClientLink {
-    /// Notes that a request is served.
+impl ClientConnection {
+    /// Records that a request is being served.
     pub fn set_busy(&self) {
         self.is_used.store(true, Ordering::Relaxed);
         self.idle_since.store(NEVER, Ordering::Relaxed);
-        self.held.lock().unwrap().resize(CONNECTION_BYTES + REQUEST_BYTES);
+        self.reservation.lock().unwrap().resize(CONNECTION_BYTES + REQUEST_BYTES);
     }
 
-    /// Notes that nothing is served.
+    /// Records that no request is being served.
     pub fn set_idle(&self, now: Timestamp) {
         self.idle_since.store(now.0, Ordering::Relaxed);
-        self.held.lock().unwrap().resize(CONNECTION_BYTES);
+        self.reservation.lock().unwrap().resize(CONNECTION_BYTES);
     }
 
-    /// Notes since when the client takes nothing; `None` while it does.
-    pub fn set_waiting(&self, since: Option<Timestamp>) {
-        self.waits_since.store(since.map_or(NEVER, |since| since.0), Ordering::Relaxed);
+    /// Records since when the client has read nothing; `None` while it reads.
+    pub fn set_stalled(&self, since: Option<Timestamp>) {
+        self.stalled_since.store(since.map_or(NEVER, |since| since.0), Ordering::Relaxed);
     }
 
-    /// Notes how many bytes of the reply are held.
+    /// Records how many bytes of the reply are in memory.
     pub fn set_reply_bytes(&self, bytes: usize) {
         self.reply_bytes.store(bytes, Ordering::Relaxed);
     }
 
-    /// Returns how many bytes of the reply are held.
+    /// Returns how many bytes of the reply are in memory.
     pub fn reply_bytes(&self) -> usize {
         self.reply_bytes.load(Ordering::Relaxed)
     }
 
-    fn as_idle(&self, now: Timestamp) -> Option<IdleClient> {
+    fn idle_client(&self, now: Timestamp) -> Option<IdleClient> {
         let since = self.idle_since.load(Ordering::Relaxed);
         let (idle, is_used) = (now.since(Timestamp(since)), self.is_used.load(Ordering::Relaxed));
         (since != NEVER).then_some(IdleClient { id: self.id, idle, is_used })
     }
 
-    fn as_reader(&self, now: Timestamp) -> Option<DownloadStatus> {
-        let since = self.waits_since.load(Ordering::Relaxed);
+    fn download_status(&self, now: Timestamp) -> Option<DownloadStatus> {
+        let since = self.stalled_since.load(Ordering::Relaxed);
         let pause = now.since(Timestamp(since));
         (since != NEVER).then(|| DownloadStatus { id: self.id, reserved: self.reply_bytes(), pause })
     }
 }
 
-/// The connections of clients.
+/// The open connections of clients.
 #[derive(Default)]
-pub struct LinkTable {
-    links: Mutex<HashMap<u64, Arc<ClientLink>>>,
-    next: AtomicU64,
+pub struct ConnectionTable {
+    connections: Mutex<HashMap<u64, Arc<ClientConnection>>>,
+    next_id: AtomicU64,
 }
 
-/// An open connection: its seat and what it costs, given back when this is dropped.
-pub struct LinkSeat {
-    desk: Arc<HeldDesk>,
-    /// The connection.
-    pub link: Arc<ClientLink>,
-    _seat: ConnectionPermit,
+/// An open connection with its permit. Dropping it releases the permit and removes the connection from the
+/// table.
+pub struct ConnectionGuard {
+    limiter: Arc<ResourceLimiter>,
+    /// State of the connection.
+    pub connection: Arc<ClientConnection>,
+    _permit: ConnectionPermit,
 }
 
-impl Drop for LinkSeat {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.desk.links.links.lock().unwrap().remove(&self.link.id);
+        self.limiter.clients.connections.lock().unwrap().remove(&self.connection.id);
     }
 }
 
-/// What becomes of a new connection.
-pub enum Admission {
-    /// It is served.
-    Serve(LinkSeat),
+/// Decision on a new connection of a client.
+pub enum ConnectionAdmission {
+    /// Its requests are served.
+    Serve(ConnectionGuard),
     /// Its first request is refused.
-    Refuse(LinkSeat),
+    Refuse(ConnectionGuard),
     /// It is closed.
     Close,
 }
 
-impl HeldDesk {
-    /// Decides on a new connection of a client. Where there is no seat, the one that has been idle for
-    /// longest is closed for it.
-    pub fn admit(self: &Arc<Self>, now: Timestamp) -> Admission {
-        if let Some(seat) = self.descriptors.try_acquire(ConnectionKind::Clients) {
-            return Admission::Serve(self.enter(now, seat));
+impl ResourceLimiter {
+    /// Decides on a new connection of a client. If all permits are in use, the connection that has been idle
+    /// for longest is closed in its favour.
+    pub fn admit(self: &Arc<Self>, now: Timestamp) -> ConnectionAdmission {
+        if let Some(permit) = self.connections.try_acquire(ConnectionKind::Clients) {
+            return ConnectionAdmission::Serve(self.register(now, permit));
         }
-        let open = self.descriptors.open(ConnectionKind::Clients);
+        let open = self.connections.open(ConnectionKind::Clients);
         let is_closed = self.close_idle(now);
-        let why = if is_closed { "an idle one is closed for it" } else { "none is idle" };
+        let why = if is_closed { "closing an idle connection in its favour" } else { "no connection is idle" };
         let kind = ConnectionKind::Clients.as_str();
-        self.note(now, HeldDecision::ConnectionsFull, &[("kind", &kind), ("why", &why), ("open", &open)]);
-        // The one that was closed frees its seat as soon as its task runs.
-        let more = if is_closed { usize::MAX } else { TOLD_CONNECTIONS };
-        let Some(seat) = self.descriptors.try_acquire_beyond(ConnectionKind::Clients, more) else {
-            return Admission::Close;
+        self.record(now, LimitDecision::ConnectionsFull, &[("kind", &kind), ("why", &why), ("open", &open)]);
+        // The closed connection releases its permit as soon as its task runs.
+        let max_beyond = if is_closed { usize::MAX } else { MAX_REFUSED_CONNECTIONS };
+        let Some(permit) = self.connections.try_acquire_beyond(ConnectionKind::Clients, max_beyond) else {
+            return ConnectionAdmission::Close;
         };
-        let seat = self.enter(now, seat);
-        if is_closed { Admission::Serve(seat) } else { Admission::Refuse(seat) }
+        let guard = self.register(now, permit);
+        if is_closed { ConnectionAdmission::Serve(guard) } else { ConnectionAdmission::Refuse(guard) }
     }
 
-    fn enter(self: &Arc<Self>, now: Timestamp, seat: ConnectionPermit) -> LinkSeat {
-        let link = Arc::new(ClientLink {
-            id: self.links.next.fetch_add(1, Ordering::Relaxed),
+    fn register(self: &Arc<Self>, now: Timestamp, permit: ConnectionPermit) -> ConnectionGuard {
+        let connection = Arc::new(ClientConnection {
+            id: self.clients.next_id.fetch_add(1, Ordering::Relaxed),
             idle_since: AtomicU64::new(now.0),
             is_used: AtomicBool::new(false),
-            waits_since: AtomicU64::new(NEVER),
+            stalled_since: AtomicU64::new(NEVER),
             reply_bytes: AtomicUsize::new(0),
-            held: Mutex::new(self.ledger.reserve(MemoryPurpose::Connections, CONNECTION_BYTES)),
-            leave: Notify::new(),
-            cut: Notify::new(),
+            reservation: Mutex::new(self.memory.reserve(MemoryPurpose::Connections, CONNECTION_BYTES)),
+            close_when_done: Notify::new(),
+            close_now: Notify::new(),
         });
-        self.links.links.lock().unwrap().insert(link.id, link.clone());
-        LinkSeat { desk: self.clone(), link, _seat: seat }
+        self.clients.connections.lock().unwrap().insert(connection.id, connection.clone());
+        ConnectionGuard { limiter: self.clone(), connection, _permit: permit }
     }
 
     fn close_idle(&self, now: Timestamp) -> bool {
-        let links = self.links.links.lock().unwrap();
-        let chosen = longest_idle(links.values().filter_map(|link| link.as_idle(now)));
-        let Some(link) = chosen.and_then(|id| links.get(&id)) else { return false };
-        // It is not chosen again until it has ended.
-        link.idle_since.store(NEVER, Ordering::Relaxed);
-        let is_used = link.is_used.load(Ordering::Relaxed);
-        let end = if is_used { &link.leave } else { &link.cut };
-        end.notify_one();
+        let connections = self.clients.connections.lock().unwrap();
+        let chosen = longest_idle(connections.values().filter_map(|connection| connection.idle_client(now)));
+        let Some(connection) = chosen.and_then(|id| connections.get(&id)) else { return false };
+        // Marked as busy, so that it is not chosen again before it has closed.
+        connection.idle_since.store(NEVER, Ordering::Relaxed);
+        let is_used = connection.is_used.load(Ordering::Relaxed);
+        let close = if is_used { &connection.close_when_done } else { &connection.close_now };
+        close.notify_one();
         true
     }
 
-    /// Cuts the slowest reader that holds most, of those that take nothing.
-    pub fn cut_reader(&self, now: Timestamp) {
-        if self.relief.pass(now).is_none() {
+    /// Closes one connection whose download is stalled, as [`download_to_close`] chooses.
+    pub fn close_stalled_download(&self, now: Timestamp) {
+        if self.close_limiter.try_pass(now).is_none() {
             return;
         }
-        let links = self.links.links.lock().unwrap();
-        let readers: Vec<DownloadStatus> = links.values().filter_map(|link| link.as_reader(now)).collect();
-        let Some(link) = download_to_close(&readers).and_then(|id| links.get(&id)) else { return };
-        let pause_ms = now.since(Timestamp(link.waits_since.load(Ordering::Relaxed))).as_millis();
-        link.set_waiting(None);
-        link.cut.notify_one();
-        let (link, why) = (link.clone(), "no room");
-        drop(links);
-        let held = link.reply_bytes();
-        self.note(now, HeldDecision::ReaderCut, &[("why", &why), ("held", &held), ("pause_ms", &pause_ms)]);
+        let connections = self.clients.connections.lock().unwrap();
+        let downloads: Vec<DownloadStatus> =
+            connections.values().filter_map(|connection| connection.download_status(now)).collect();
+        let Some(connection) = download_to_close(&downloads).and_then(|id| connections.get(&id)) else { return };
+        let pause_ms = now.since(Timestamp(connection.stalled_since.load(Ordering::Relaxed))).as_millis();
+        connection.set_stalled(None);
+        connection.close_now.notify_one();
+        let (connection, why) = (connection.clone(), "no memory left");
+        drop(connections);
+        let reply_bytes = connection.reply_bytes();
+        self.record(
+            now,
+            LimitDecision::DownloadClosed,
+            &[("why", &why), ("held", &reply_bytes), ("pause_ms", &pause_ms)],
+        );
     }
 }
--- a/crates/trestlerackd/src/entry/resource_limits/mod.rs
+++ b/crates/trestlerackd/src/entry/resource_limits/mod.rs
@@ -1,6 +1,6 @@
-//! What this node holds for its callers, and how it stays within the VM's memory and descriptors.
+//! Keeps the memory and the connections of this node within the limits of its VM.
 //!
-//! Who gives way is decided in `trestlerack::process`; here it is carried out. See
+//! `trestlerack::process` decides which request or connection is refused; this module carries it out. See
 //! [docs/design/held-memory.md](../../../../../docs/design/held-memory.md).
 
 mod body_reader;
@@ -12,16 +12,16 @@
 mod uploads;
 mod watched_stream;
 
-pub use body_reader::{BodyRefusal, read_body};
-pub use connection_table::{Admission, ClientLink, LinkSeat};
-pub use reply_body::{AnswerBytes, LinkedBody};
-pub use response_reader::read_answer;
-pub use status::{memory_lines, write_metrics};
+pub use body_reader::{BodyError, read_body};
+pub use connection_table::{ClientConnection, ConnectionAdmission, ConnectionGuard};
+pub use reply_body::{ResponseReservation, TrackedBody};
+pub use response_reader::read_response;
+pub use status::{memory_status, write_metrics};
 pub use watched_stream::WatchedStream;
 
 use crate::process::logs;
-use connection_table::LinkTable;
-use interval_limiter::PaceGate;
+use connection_table::ConnectionTable;
+use interval_limiter::IntervalLimiter;
 use std::fmt::Display;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -31,124 +31,126 @@
     is_near_limit, run_limit,
 };
 use trestlerack::{Timestamp, event};
-use uploads::BodyTable;
+use uploads::UploadTable;
 
-/// Share of the bound that idle connections of clients may have, one part in so many.
-const CONNECTION_PARTS: usize = 4;
+/// Divisor of the memory limit: clients' connections, while idle, may use up to this part of it.
+const IDLE_CONNECTIONS_DIVISOR: usize = 4;
 
-/// Least time between two log lines of one kind, so that a flood of callers is no flood of lines.
-const LINE_INTERVAL: Duration = Duration::from_secs(1);
+/// Minimum time between two log lines of the same decision, so that a flood of clients does not flood the
+/// log.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Least time between two looks for a reader to cut. One cut frees a large answer's room.
-const RELIEF_INTERVAL: Duration = Duration::from_millis(10);
+/// Minimum time between two searches for a stalled download to close. Closing one frees the memory of a
+/// large response.
+const CLOSE_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What was decided for want of room or of pace, as metrics count it.
+/// Decision caused by a limit or by a client that is too slow. The metrics count each kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HeldDecision {
-    /// A body was refused before it was read.
+pub enum LimitDecision {
+    /// A request body was refused before any of it was read.
     BodyRefused,
-    /// A sender was too slow.
-    SenderCut,
-    /// A reader was too slow.
-    ReaderCut,
-    /// A connection was refused, or an idle one was closed for it.
+    /// An upload was aborted, as it was too slow or memory ran short.
+    UploadAborted,
+    /// A download was closed, as its client read too slowly.
+    DownloadClosed,
+    /// A new connection was refused, or an idle one was closed in its favour.
     ConnectionsFull,
-    /// Fewer runs were started.
+    /// Fewer runs of job items were started.
     RunsLimited,
-    /// An answer waited for room.
-    AnswerWaits,
+    /// A response waited for memory.
+    ResponseWaits,
 }
 
-impl HeldDecision {
+impl LimitDecision {
     const ALL: [Self; 6] = [
         Self::BodyRefused,
-        Self::SenderCut,
-        Self::ReaderCut,
+        Self::UploadAborted,
+        Self::DownloadClosed,
         Self::ConnectionsFull,
         Self::RunsLimited,
-        Self::AnswerWaits,
+        Self::ResponseWaits,
     ];
 
     fn event(self) -> LogEvent {
         match self {
             Self::BodyRefused => event::BODY_REFUSED,
-            Self::SenderCut => event::SENDER_CUT,
-            Self::ReaderCut => event::READER_CUT,
+            Self::UploadAborted => event::SENDER_CUT,
+            Self::DownloadClosed => event::READER_CUT,
             Self::ConnectionsFull => event::CONNECTIONS_FULL,
             Self::RunsLimited => event::RUNS_LIMITED,
-            Self::AnswerWaits => event::ANSWER_WAITS,
+            Self::ResponseWaits => event::ANSWER_WAITS,
         }
     }
 }
 
-/// Owner of what is known of held bytes and open connections.
-pub struct HeldDesk {
-    /// Held bytes.
-    pub ledger: MemoryPool,
-    /// Open connections by kind.
-    pub descriptors: ConnectionCounter,
-    /// Clients' connections.
-    pub links: LinkTable,
-    bodies: BodyTable,
-    /// The turn of the answer that waits for room; the others wait behind it.
-    turn: tokio::sync::Mutex<()>,
-    /// Readers are looked through for one to cut this often, however many answers wait.
-    relief: PaceGate,
-    counts: [AtomicU64; HeldDecision::ALL.len()],
-    gates: [PaceGate; HeldDecision::ALL.len()],
+/// Tracks reserved memory and open connections, and enforces their limits.
+pub struct ResourceLimiter {
+    /// Memory reserved for requests.
+    pub memory: MemoryPool,
+    /// Number of open connections by kind.
+    pub connections: ConnectionCounter,
+    /// Connections of clients.
+    pub clients: ConnectionTable,
+    uploads: UploadTable,
+    /// Locked by the response that tries to reserve memory; other waiting responses queue for the lock.
+    waiting_turn: tokio::sync::Mutex<()>,
+    /// Limits how often a stalled download is searched for, however many responses wait.
+    close_limiter: IntervalLimiter,
+    counts: [AtomicU64; LimitDecision::ALL.len()],
+    log_limiters: [IntervalLimiter; LimitDecision::ALL.len()],
 }
 
-impl HeldDesk {
-    /// Builds a desk for a VM of these settings.
+impl ResourceLimiter {
+    /// Creates a limiter for a VM with the given settings.
     pub fn new(settings: &EntrySettings) -> Self {
-        let bounds = MemoryLimits::from_memory(settings.memory_mb);
-        let clients = bounds.total / CONNECTION_PARTS / CONNECTION_BYTES;
+        let limits = MemoryLimits::from_memory(settings.memory_mb);
+        let clients = limits.total / IDLE_CONNECTIONS_DIVISOR / CONNECTION_BYTES;
         let descriptors = ConnectionLimits::from_descriptors(settings.max_descriptors);
         Self {
-            ledger: MemoryPool::new(bounds),
-            descriptors: ConnectionCounter::new(descriptors.capped(ConnectionKind::Clients, clients)),
-            links: LinkTable::default(),
-            bodies: BodyTable::default(),
-            turn: tokio::sync::Mutex::default(),
-            relief: PaceGate::every(RELIEF_INTERVAL),
+            memory: MemoryPool::new(limits),
+            connections: ConnectionCounter::new(descriptors.capped(ConnectionKind::Clients, clients)),
+            clients: ConnectionTable::default(),
+            uploads: UploadTable::default(),
+            waiting_turn: tokio::sync::Mutex::default(),
+            close_limiter: IntervalLimiter::every(CLOSE_INTERVAL),
             counts: Default::default(),
-            gates: std::array::from_fn(|_| PaceGate::every(LINE_INTERVAL)),
+            log_limiters: std::array::from_fn(|_| IntervalLimiter::every(LOG_INTERVAL)),
         }
     }
 
-    /// Returns whether the settings bound what is held.
+    /// Returns whether the settings limit the memory.
     pub fn is_bounded(&self) -> bool {
-        self.ledger.limits().is_bounded()
+        self.memory.limits().is_bounded()
     }
 
-    /// Returns whether what is held nears its bound.
-    pub fn is_pressed(&self) -> bool {
-        is_near_limit(self.ledger.total(), self.ledger.limits().total)
+    /// Returns whether the reserved memory is near its limit.
+    pub fn is_near_limit(&self) -> bool {
+        is_near_limit(self.memory.total(), self.memory.limits().total)
     }
 
-    /// Returns how many more runs of items may be started beside those that `running` counts.
-    pub fn runs_left(&self, now: Timestamp, running: impl FnOnce() -> usize) -> usize {
-        let (held, bound) = (self.ledger.total(), self.ledger.limits().total);
-        let Some(limit) = run_limit(held, bound) else { return usize::MAX };
+    /// Returns how many runs of job items may be started in addition to those that `running` counts.
+    pub fn remaining_runs(&self, now: Timestamp, running: impl FnOnce() -> usize) -> usize {
+        let (total, max_total) = (self.memory.total(), self.memory.limits().total);
+        let Some(limit) = run_limit(total, max_total) else { return usize::MAX };
         let running = running();
         if running >= limit {
             let fields: [(&str, &dyn Display); 4] =
-                [("limit", &limit), ("running", &running), ("held", &held), ("bound", &bound)];
-            self.note(now, HeldDecision::RunsLimited, &fields);
+                [("limit", &limit), ("running", &running), ("held", &total), ("bound", &max_total)];
+            self.record(now, LimitDecision::RunsLimited, &fields);
         }
         limit.saturating_sub(running)
     }
 
-    /// Counts a decision and logs it, one line a second.
-    pub fn note(&self, now: Timestamp, decision: HeldDecision, fields: &[(&str, &dyn Display)]) {
+    /// Counts a decision, and logs it at most once per [`LOG_INTERVAL`].
+    pub fn record(&self, now: Timestamp, decision: LimitDecision, fields: &[(&str, &dyn Display)]) {
         self.counts[decision as usize].fetch_add(1, Ordering::Relaxed);
-        let Some(skipped) = self.gates[decision as usize].pass(now) else { return };
+        let Some(skipped) = self.log_limiters[decision as usize].try_pass(now) else { return };
         let mut fields = fields.to_vec();
         fields.push(("skipped", &skipped));
         logs::write(decision.event(), &fields);
     }
 
-    fn count(&self, decision: HeldDecision) -> u64 {
+    fn count(&self, decision: LimitDecision) -> u64 {
         self.counts[decision as usize].load(Ordering::Relaxed)
     }
 }
--- a/crates/trestlerackd/src/entry/resource_limits/reply_body.rs
+++ b/crates/trestlerackd/src/entry/resource_limits/reply_body.rs
@@ -1,6 +1,6 @@
-//! The body of a reply on its way to a client, counted until the connection takes it.
+//! The body of a reply to a client, whose memory stays reserved until the connection has taken it.
 
-use super::ClientLink;
+use super::ClientConnection;
 use crate::entry::front::{BrokenReply, ReplyBody};
 use crate::entry::node::EntryNode;
 use bytes::Bytes;
@@ -12,18 +12,18 @@
 use std::task::{Context, Poll};
 use trestlerack::process::{MemoryPurpose, MemoryReservation};
 
-/// Most bytes that the connection is handed at once. It asks for more when it has written most of them,
-/// so that what it buffers itself stays small.
-const PIECE: usize = 16 * 1024;
+/// Maximum number of bytes passed to the connection at once. It asks for more when it has written most of
+/// them, so that its own buffer stays small.
+const MAX_PIECE_BYTES: usize = 16 * 1024;
 
-/// Bytes of an answer that are counted already; travels with the reply.
+/// Memory already reserved for a server's response, passed on as an extension of the reply.
 #[derive(Clone)]
-pub struct AnswerBytes(Arc<Mutex<Option<MemoryReservation>>>);
+pub struct ResponseReservation(Arc<Mutex<Option<MemoryReservation>>>);
 
-impl AnswerBytes {
-    /// Wraps the bytes of an answer.
-    pub fn new(held: MemoryReservation) -> Self {
-        Self(Arc::new(Mutex::new(Some(held))))
+impl ResponseReservation {
+    /// Wraps the reservation of a response.
+    pub fn new(reservation: MemoryReservation) -> Self {
+        Self(Arc::new(Mutex::new(Some(reservation))))
     }
 
     fn take(&self) -> Option<MemoryReservation> {
@@ -31,43 +31,49 @@
     }
 }
 
-/// The body of a reply, in pieces, with the count of what is held for it.
-pub struct LinkedBody {
+/// The body of a reply, split into pieces, with the memory reserved for it.
+pub struct TrackedBody {
     inner: ReplyBody,
     rest: Bytes,
-    held: Option<MemoryReservation>,
+    reservation: Option<MemoryReservation>,
     node: Arc<EntryNode>,
-    link: Arc<ClientLink>,
+    connection: Arc<ClientConnection>,
 }
 
-impl LinkedBody {
-    /// Wraps the body of a reply; the connection is busy until it is dropped.
-    pub fn wrap(node: &Arc<EntryNode>, link: &Arc<ClientLink>, mut reply: Response<ReplyBody>) -> Response<ReplyBody> {
-        let counted = reply.extensions_mut().remove::<AnswerBytes>().and_then(|bytes| bytes.take());
+impl TrackedBody {
+    /// Wraps the body of a reply. The connection counts as busy until the wrapper is dropped.
+    pub fn wrap(
+        node: &Arc<EntryNode>,
+        connection: &Arc<ClientConnection>,
+        mut reply: Response<ReplyBody>,
+    ) -> Response<ReplyBody> {
+        let existing = reply.extensions_mut().remove::<ResponseReservation>().and_then(|existing| existing.take());
         reply.map(|inner| {
             let length = inner.size_hint().exact().and_then(|length| usize::try_from(length).ok());
-            let held = counted.or_else(|| Some(node.held.ledger.reserve(MemoryPurpose::Responses, length?)));
-            link.set_reply_bytes(held.as_ref().map_or(0, MemoryReservation::bytes));
-            Self { inner, rest: Bytes::new(), held, node: node.clone(), link: link.clone() }.boxed_unsync()
+            let reservation =
+                existing.or_else(|| Some(node.resource_limits.memory.reserve(MemoryPurpose::Responses, length?)));
+            connection.set_reply_bytes(reservation.as_ref().map_or(0, MemoryReservation::bytes));
+            Self { inner, rest: Bytes::new(), reservation, node: node.clone(), connection: connection.clone() }
+                .boxed_unsync()
         })
     }
 
     fn next_piece(&mut self) -> Frame<Bytes> {
-        let length = self.rest.len().min(PIECE);
+        let length = self.rest.len().min(MAX_PIECE_BYTES);
         let piece = self.rest.split_to(length);
         if self.rest.is_empty() && self.inner.is_end_stream() {
-            self.let_go();
+            self.release();
         }
         Frame::data(piece)
     }
 
-    fn let_go(&mut self) {
-        self.held = None;
-        self.link.set_reply_bytes(0);
+    fn release(&mut self) {
+        self.reservation = None;
+        self.connection.set_reply_bytes(0);
     }
 }
 
-impl Body for LinkedBody {
+impl Body for TrackedBody {
     type Data = Bytes;
     type Error = BrokenReply;
 
@@ -105,9 +111,9 @@
     }
 }
 
-impl Drop for LinkedBody {
+impl Drop for TrackedBody {
     fn drop(&mut self) {
-        self.let_go();
-        self.link.set_idle(self.node.now());
+        self.release();
+        self.connection.set_idle(self.node.now());
     }
 }
--- a/crates/trestlerackd/src/entry/resource_limits/response_reader.rs
+++ b/crates/trestlerackd/src/entry/resource_limits/response_reader.rs
@@ -1,6 +1,6 @@
-//! Reads whole answers of backend servers as there is room for them.
+//! Reads complete responses of backend servers into memory reserved from the pool.
 
-use super::HeldDecision;
+use super::LimitDecision;
 use crate::entry::node::EntryNode;
 use crate::process::clock;
 use bytes::{Bytes, BytesMut};
@@ -11,60 +11,68 @@
 use std::time::Duration;
 use trestlerack::process::{MemoryPurpose, MemoryReservation, ReserveError};
 
-/// Interval at which an answer that waits looks for room again.
-const ROOM_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which a response that waits for memory tries again to reserve it.
+const MEMORY_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Reads an answer of `most` bytes at most; `None` if it breaks off or is longer.
+/// Reads a response of at most `max_bytes` bytes. Returns `None` if it is longer, or if its connection
+/// breaks before the end.
 ///
-/// An answer for which there is no room stays with its server: it is not read on meanwhile.
-pub async fn read_answer(
+/// While there is no memory for a response, its body is not read, so that the remaining bytes stay at its
+/// server.
+pub async fn read_response(
     node: &Arc<EntryNode>,
     request: &str,
     mut body: Incoming,
-    most: usize,
+    max_bytes: usize,
 ) -> Option<(Bytes, MemoryReservation)> {
-    let mut held = node.held.ledger.reserve(MemoryPurpose::Responses, 0);
-    let stated = body.size_hint().exact().map_or(0, |length| usize::try_from(length).unwrap_or(usize::MAX));
-    if stated > most {
+    let mut reservation = node.resource_limits.memory.reserve(MemoryPurpose::Responses, 0);
+    let declared = body.size_hint().exact().map_or(0, |length| usize::try_from(length).unwrap_or(usize::MAX));
+    if declared > max_bytes {
         return None;
     }
-    wait_for_room(node, request, &mut held, stated).await?;
-    let mut bytes = BytesMut::with_capacity(stated);
+    wait_for_memory(node, request, &mut reservation, declared).await?;
+    let mut bytes = BytesMut::with_capacity(declared);
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame.ok()?.into_data() else { continue };
         let length = bytes.len() + data.len();
-        if length > most {
+        if length > max_bytes {
             return None;
         }
-        let missing = length.saturating_sub(held.bytes());
-        wait_for_room(node, request, &mut held, missing).await?;
+        let missing = length.saturating_sub(reservation.bytes());
+        wait_for_memory(node, request, &mut reservation, missing).await?;
         bytes.extend_from_slice(&data);
     }
-    Some((bytes.freeze(), held))
+    Some((bytes.freeze(), reservation))
 }
 
-/// Takes bytes for an answer, as soon as there is room; `None` if there never is.
-async fn wait_for_room(node: &EntryNode, request: &str, held: &mut MemoryReservation, more: usize) -> Option<()> {
-    match held.try_grow(more) {
+/// Reserves `more` bytes for a response, and waits until they are available. Returns `None` if the
+/// response is larger than the limits ever allow.
+async fn wait_for_memory(
+    node: &EntryNode,
+    request: &str,
+    reservation: &mut MemoryReservation,
+    more: usize,
+) -> Option<()> {
+    match reservation.try_grow(more) {
         Ok(()) => return Some(()),
         Err(ReserveError::TooLarge) => return None,
-        Err(ReserveError::Exhausted) => tell_wait(node, request, more),
+        Err(ReserveError::Exhausted) => log_wait(node, request, more),
     }
-    // One answer at a time looks for room, so that hundreds that wait cost no more than one.
-    let _turn = node.held.turn.lock().await;
-    while let Err(refusal) = held.try_grow(more) {
-        if refusal == ReserveError::TooLarge {
+    // Only one response at a time tries again, so that hundreds of waiting ones cost no more than one.
+    let _turn = node.resource_limits.waiting_turn.lock().await;
+    while let Err(error) = reservation.try_grow(more) {
+        if error == ReserveError::TooLarge {
             return None;
         }
-        node.held.cut_reader(node.now());
-        clock::sleep(ROOM_INTERVAL).await;
+        node.resource_limits.close_stalled_download(node.now());
+        clock::sleep(MEMORY_RETRY_INTERVAL).await;
     }
     Some(())
 }
 
-fn tell_wait(node: &EntryNode, request: &str, bytes: usize) {
-    let (held, bound) = (node.held.ledger.total(), node.held.ledger.limits().total);
+fn log_wait(node: &EntryNode, request: &str, bytes: usize) {
+    let (total, max_total) = (node.resource_limits.memory.total(), node.resource_limits.memory.limits().total);
     let fields: [(&str, &dyn Display); 4] =
-        [("request", &request), ("bytes", &bytes), ("held", &held), ("bound", &bound)];
-    node.held.note(node.now(), HeldDecision::AnswerWaits, &fields);
+        [("request", &request), ("bytes", &bytes), ("held", &total), ("bound", &max_total)];
+    node.resource_limits.record(node.now(), LimitDecision::ResponseWaits, &fields);
 }
--- a/crates/trestlerackd/src/entry/resource_limits/uploads.rs
+++ b/crates/trestlerackd/src/entry/resource_limits/uploads.rs
@@ -1,4 +1,5 @@
-//! Large bodies that are being read, so that the one that holds most for its progress can be refused.
+//! Large request bodies that are being received. When memory runs short, the one that has reserved the
+//! most memory for the bytes received so far is refused.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -7,64 +8,64 @@
 use trestlerack::Timestamp;
 use trestlerack::process::{UploadStatus, upload_to_refuse};
 
-/// A body that is being read.
-pub struct BodyWatch {
+/// State of a request body that is being received.
+pub struct UploadState {
     started: Timestamp,
-    /// Bytes that are held for it.
-    pub held: AtomicUsize,
-    /// Bytes that came.
+    /// Bytes reserved for the body.
+    pub reserved: AtomicUsize,
+    /// Bytes received so far.
     pub received: AtomicUsize,
-    /// Tells that it is to be refused.
+    /// Notified when the body is to be refused.
     pub refused: Notify,
 }
 
-/// The large bodies that are being read.
+/// The large request bodies that are being received.
 #[derive(Default)]
-pub struct BodyTable {
-    watches: Mutex<HashMap<u64, Arc<BodyWatch>>>,
-    next: AtomicU64,
+pub struct UploadTable {
+    uploads: Mutex<HashMap<u64, Arc<UploadState>>>,
+    next_id: AtomicU64,
 }
 
-/// A place in the table; dropping it leaves it.
-pub struct BodyPlace<'a> {
-    table: &'a BodyTable,
+/// Entry of a body in the table, which is removed on drop.
+pub struct UploadGuard<'a> {
+    table: &'a UploadTable,
     id: u64,
-    /// What is known of the body.
-    pub watch: Arc<BodyWatch>,
+    /// State of the body.
+    pub state: Arc<UploadState>,
 }
 
-impl BodyTable {
-    /// Enters a body.
-    pub fn enter(&self, now: Timestamp) -> BodyPlace<'_> {
-        let watch = Arc::new(BodyWatch {
+impl UploadTable {
+    /// Adds a body to the table until the guard is dropped.
+    pub fn register(&self, now: Timestamp) -> UploadGuard<'_> {
+        let state = Arc::new(UploadState {
             started: now,
-            held: AtomicUsize::new(0),
+            reserved: AtomicUsize::new(0),
             received: AtomicUsize::new(0),
             refused: Notify::new(),
         });
-        let id = self.next.fetch_add(1, Ordering::Relaxed);
-        self.watches.lock().unwrap().insert(id, watch.clone());
-        BodyPlace { table: self, id, watch }
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
+        self.uploads.lock().unwrap().insert(id, state.clone());
+        UploadGuard { table: self, id, state }
     }
 
-    /// Has the sender refused that holds most for its progress.
-    pub fn relieve(&self, now: Timestamp) {
-        let watches = self.watches.lock().unwrap();
-        let view = |(id, watch): (&u64, &Arc<BodyWatch>)| UploadStatus {
+    /// Refuses the upload that has reserved the most memory for its progress.
+    pub fn refuse_one(&self, now: Timestamp) {
+        let uploads = self.uploads.lock().unwrap();
+        let status = |(id, state): (&u64, &Arc<UploadState>)| UploadStatus {
             id: *id,
-            reserved: watch.held.load(Ordering::Relaxed),
-            received: watch.received.load(Ordering::Relaxed),
-            age: now.since(watch.started),
+            reserved: state.reserved.load(Ordering::Relaxed),
+            received: state.received.load(Ordering::Relaxed),
+            age: now.since(state.started),
         };
-        let views: Vec<UploadStatus> = watches.iter().map(view).collect();
-        if let Some(watch) = upload_to_refuse(&views).and_then(|id| watches.get(&id)) {
-            watch.refused.notify_one();
+        let statuses: Vec<UploadStatus> = uploads.iter().map(status).collect();
+        if let Some(state) = upload_to_refuse(&statuses).and_then(|id| uploads.get(&id)) {
+            state.refused.notify_one();
         }
     }
 }
 
-impl Drop for BodyPlace<'_> {
+impl Drop for UploadGuard<'_> {
     fn drop(&mut self) {
-        self.table.watches.lock().unwrap().remove(&self.id);
+        self.table.uploads.lock().unwrap().remove(&self.id);
     }
 }
--- a/crates/trestlerackd/src/entry/resource_limits/watched_stream.rs
+++ b/crates/trestlerackd/src/entry/resource_limits/watched_stream.rs
@@ -1,6 +1,6 @@
-//! A client's connection that is closed when its client takes too little of what is written.
+//! Stream of a client's connection that fails when the client reads too slowly.
 
-use super::{ClientLink, HeldDecision};
+use super::{ClientConnection, LimitDecision};
 use crate::entry::node::EntryNode;
 use crate::process::clock;
 use std::future::Future;
@@ -12,54 +12,56 @@
 use tokio::net::TcpStream;
 use trestlerack::process::DownloadProgress;
 
-/// A connection and how its client reads. A timer runs only while a write waits.
+/// Wraps the stream of a connection and tracks how fast the client reads. A timer runs only while a write
+/// is pending.
 pub struct WatchedStream {
     stream: TcpStream,
     node: Arc<EntryNode>,
-    link: Arc<ClientLink>,
-    pace: Option<DownloadProgress>,
+    connection: Arc<ClientConnection>,
+    progress: Option<DownloadProgress>,
     timer: Option<Pin<Box<dyn Future<Output = ()> + Send>>>,
 }
 
 impl WatchedStream {
-    /// Watches a connection.
-    pub fn new(node: Arc<EntryNode>, link: Arc<ClientLink>, stream: TcpStream) -> Self {
-        Self { stream, node, link, pace: None, timer: None }
+    /// Wraps the stream of a connection.
+    pub fn new(node: Arc<EntryNode>, connection: Arc<ClientConnection>, stream: TcpStream) -> Self {
+        Self { stream, node, connection, progress: None, timer: None }
     }
 
-    /// Looks at the outcome of a write.
-    fn look(&mut self, context: &mut Context<'_>, written: Poll<Result<usize>>) -> Poll<Result<usize>> {
+    /// Records the result of a write. A pending write fails if the client reads too slowly.
+    fn check_write(&mut self, context: &mut Context<'_>, written: Poll<Result<usize>>) -> Poll<Result<usize>> {
         match written {
             Poll::Ready(Ok(bytes)) => {
-                self.wrote(bytes);
+                self.record_write(bytes);
                 written
             }
-            Poll::Pending if self.node.held.is_bounded() => self.wait(context),
+            Poll::Pending if self.node.resource_limits.is_bounded() => self.poll_stall(context),
             _ => written,
         }
     }
 
-    fn wrote(&mut self, bytes: usize) {
-        let Some(pace) = &mut self.pace else { return };
-        pace.record(self.node.now(), bytes);
+    fn record_write(&mut self, bytes: usize) {
+        let Some(progress) = &mut self.progress else { return };
+        progress.record(self.node.now(), bytes);
         self.timer = None;
-        self.link.set_waiting(None);
+        self.connection.set_stalled(None);
     }
 
-    fn wait(&mut self, context: &mut Context<'_>) -> Poll<Result<usize>> {
+    fn poll_stall(&mut self, context: &mut Context<'_>) -> Poll<Result<usize>> {
         let now = self.node.now();
-        let pace = *self.pace.get_or_insert_with(|| DownloadProgress::start(now));
+        let progress = *self.progress.get_or_insert_with(|| DownloadProgress::start(now));
         if self.timer.is_none() {
-            self.link.set_waiting(Some(now));
+            self.connection.set_stalled(Some(now));
         }
-        let timer = self.timer.get_or_insert_with(|| Box::pin(clock::sleep(pace.left(now))));
+        let timer = self.timer.get_or_insert_with(|| Box::pin(clock::sleep(progress.left(now))));
         if timer.as_mut().poll(context).is_pending() {
             return Poll::Pending;
         }
-        let (why, held, pause_ms) = ("too slow", self.link.reply_bytes(), pace.pause(now).as_millis());
-        let fields: [(&str, &dyn std::fmt::Display); 3] = [("why", &why), ("held", &held), ("pause_ms", &pause_ms)];
-        self.node.held.note(now, HeldDecision::ReaderCut, &fields);
-        Poll::Ready(Err(Error::new(ErrorKind::TimedOut, "the client reads too slowly")))
+        let (why, reply_bytes, pause_ms) = ("too slow", self.connection.reply_bytes(), progress.pause(now).as_millis());
+        let fields: [(&str, &dyn std::fmt::Display); 3] =
+            [("why", &why), ("held", &reply_bytes), ("pause_ms", &pause_ms)];
+        self.node.resource_limits.record(now, LimitDecision::DownloadClosed, &fields);
+        Poll::Ready(Err(Error::new(ErrorKind::TimedOut, "client reads the reply too slowly")))
     }
 }
 
@@ -72,7 +74,7 @@
 impl AsyncWrite for WatchedStream {
     fn poll_write(mut self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.look(context, written)
+        self.check_write(context, written)
     }
 
     fn poll_write_vectored(
@@ -81,7 +83,7 @@
         bytes: &[IoSlice<'_>],
     ) -> Poll<Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(context, bytes);
-        self.look(context, written)
+        self.check_write(context, written)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -89,8 +91,8 @@
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Result<()>> {
-        // Everything is written, so the client has caught up.
-        self.pace = None;
+        // Everything has been written, so the client has caught up.
+        self.progress = None;
         Pin::new(&mut self.stream).poll_flush(context)
     }
 
