--- a/crates/trestlerackd/src/entry/admission/mod.rs
+++ b/crates/trestlerackd/src/entry/admission/mod.rs
@@ -1,7 +1,7 @@
-//! Holds the calls that wait for a place of a service, and wakes them.
+//! Admission control: calls wait here for a free slot at a server of their service.
 //!
-//! Active for services of configurations with customers, and for those whose servers are compared;
-//! elsewhere a call looks for any server for a part of its target latency. See
+//! Active if the configuration has customers, and for services whose servers are compared with each other.
+//! Otherwise a call tries to find any server for a fraction of its target latency. See
 //! [docs/design/room.md](../../../../../docs/design/room.md).
 
 mod metrics;
@@ -9,9 +9,9 @@
 mod service_calls;
 mod status;
 
-pub use metrics::RoomMetrics;
-pub use service_calls::{RoomCall, enter, may_try_again, note_attempt, note_call};
-pub use status::lines;
+pub use metrics::AdmissionMetrics;
+pub use service_calls::{ServiceCall, acquire_slot, record_attempt, record_call, try_spend_attempt};
+pub use status::status;
 
 use super::node::EntryNode;
 use crate::process::clock;
@@ -26,24 +26,24 @@
 };
 use trestlerack::{Name, Timestamp};
 
-/// Longest sleep before a queue is looked at again without news, so that an estimate that has improved
-/// meanwhile is seen.
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum delay before a queue is checked again without an event, so that an estimate that has improved in
+/// the meantime takes effect.
+const MAX_RECHECK_DELAY: Duration = Duration::from_millis(20);
 
-/// Shortest such sleep; times are in milliseconds.
-const LEAST_PAUSE: Duration = Duration::from_millis(1);
+/// Minimum delay before a queue is checked again; [`Timestamp`] has a resolution of one millisecond.
+const MIN_RECHECK_DELAY: Duration = Duration::from_millis(1);
 
-/// How the wait of a call ended.
-type WaitEnd = Result<(), CallRefusal>;
+/// Result of a call's wait in the queue.
+type WaitResult = Result<(), CallRefusal>;
 
-/// The calls that wait for one service.
+/// The queue of one service.
 struct ServiceQueue {
     queue: AdmissionQueue,
-    ends: HashMap<QueuedCallId, oneshot::Sender<WaitEnd>>,
-    /// Whether a task looks after the queue.
-    is_driven: bool,
-    /// When that task looks next, unless it is woken.
-    looks_at: Timestamp,
+    waiters: HashMap<QueuedCallId, oneshot::Sender<WaitResult>>,
+    /// Whether a [`drive`] task checks the queue.
+    has_driver: bool,
+    /// When that task checks the queue next, unless it is woken earlier.
+    next_check: Timestamp,
     wake: Arc<Notify>,
     counts: RefusalCounts,
 }
@@ -52,32 +52,32 @@
     fn new() -> Self {
         Self {
             queue: AdmissionQueue::new(AdmissionSettings::default()),
-            ends: HashMap::new(),
-            is_driven: false,
-            looks_at: Timestamp::default(),
+            waiters: HashMap::new(),
+            has_driver: false,
+            next_check: Timestamp::default(),
             wake: Arc::default(),
             counts: RefusalCounts::default(),
         }
     }
 
-    /// Returns whether nobody waits, so that the task that looks after the queue ends. It alone records
-    /// that it does, so that there is never a second one.
-    fn is_left(&mut self) -> bool {
-        self.is_driven = !self.queue.is_empty();
-        !self.is_driven
+    /// Returns whether the queue is empty, so that the task that checks it ends. Only this task clears
+    /// `has_driver`, so that there is never a second one.
+    fn try_release_driver(&mut self) -> bool {
+        self.has_driver = !self.queue.is_empty();
+        !self.has_driver
     }
 }
 
-/// The queues of a node, by service.
-pub struct RoomDesk {
+/// The admission queues of a node, by service.
+pub struct AdmissionControl {
     queues: Mutex<HashMap<Name, ServiceQueue>>,
-    /// Calls that wait in all queues, so that the end of a request costs nothing while none do.
+    /// Number of waiting calls in all queues, so that a finished request locks no queue while none wait.
     waiting: AtomicUsize,
     second_attempts: Mutex<SecondAttemptBudget>,
 }
 
-impl RoomDesk {
-    /// Builds a desk without calls.
+impl AdmissionControl {
+    /// Creates the state without any queue.
     pub fn new() -> Self {
         Self {
             queues: Mutex::default(),
@@ -86,15 +86,15 @@
         }
     }
 
-    fn is_short(&self, now: Timestamp, service: &str) -> bool {
-        self.queues().get(service).is_some_and(|held| held.queue.is_overloaded(now))
+    fn is_overloaded(&self, now: Timestamp, service: &str) -> bool {
+        self.queues().get(service).is_some_and(|service_queue| service_queue.queue.is_overloaded(now))
     }
 
-    fn is_waited_for(&self, service: &str) -> bool {
-        self.queues().get(service).is_some_and(|held| !held.queue.is_empty())
+    fn has_waiting_calls(&self, service: &str) -> bool {
+        self.queues().get(service).is_some_and(|service_queue| !service_queue.queue.is_empty())
     }
 
-    fn has_waiting(&self) -> bool {
+    fn has_any_waiting(&self) -> bool {
         self.waiting.load(Ordering::Relaxed) > 0
     }
 
@@ -102,33 +102,33 @@
         self.queues.lock().unwrap()
     }
 
-    /// Changes the queue of a service, which is made if there is none.
+    /// Runs `change` on the queue of a service, which is created if it does not exist.
     fn with_queue<T>(&self, service: &Name, change: impl FnOnce(&mut ServiceQueue) -> T) -> T {
         let mut queues = self.queues();
-        if let Some(held) = queues.get_mut(service) {
-            return change(held);
+        if let Some(service_queue) = queues.get_mut(service) {
+            return change(service_queue);
         }
         change(queues.entry(service.clone()).or_insert_with(ServiceQueue::new))
     }
 }
 
-/// Returns whether calls for a service are admitted by its room.
+/// Returns whether calls to a service are subject to admission control.
 pub fn is_active(node: &EntryNode, service: &str) -> bool {
     let has_customers = node.routing().is_some_and(|routing| routing.customers.is_some());
     has_customers || node.board.lock().unwrap().compares_servers(service)
 }
 
-/// Records that a server had no room for a call.
-pub fn note_full(node: &EntryNode, service: &Name) {
+/// Records that a server had no free slot for a call.
+pub fn record_full_server(node: &EntryNode, service: &Name) {
     if is_active(node, service) {
         let now = node.now();
-        node.room.with_queue(service, |held| held.queue.record_full_server(now));
+        node.admission.with_queue(service, |service_queue| service_queue.queue.record_full_server(now));
     }
 }
 
-/// Returns what is known of a service. Where all its servers are paused, a place is expected when the
-/// first pause ends.
-fn view(node: &EntryNode, service: &str) -> ServiceLoad {
+/// Returns the load of a service. If all its servers are paused, a slot is expected when the first pause
+/// ends.
+fn service_load(node: &EntryNode, service: &str) -> ServiceLoad {
     let now = node.now();
     let board = node.board.lock().unwrap();
     let mut estimate = board.wait_estimate(now, service);
@@ -137,65 +137,65 @@
     {
         estimate.wait = opens_at.since(now);
     }
-    let in_flight = board.of_service(service).map(|belief| belief.in_flight).sum();
+    let in_flight = board.of_service(service).map(|server| server.in_flight).sum();
     ServiceLoad { estimate, in_flight }
 }
 
-/// Tells that a place of a service may be free.
-pub fn place_freed(node: &EntryNode, service: &Name) {
-    if node.room.has_waiting() && node.room.is_waited_for(service) {
+/// Called when a slot of a service may have become free.
+pub fn slot_freed(node: &EntryNode, service: &Name) {
+    if node.admission.has_any_waiting() && node.admission.has_waiting_calls(service) {
         advance(node, service);
     }
 }
 
-/// Tells that service discovery has changed, so that any service may have places.
+/// Called when service discovery has changed, since any service may now have free slots.
 pub fn servers_changed(node: &EntryNode) {
-    if !node.room.has_waiting() {
+    if !node.admission.has_any_waiting() {
         return;
     }
-    let services: Vec<Name> = node.room.queues().keys().cloned().collect();
+    let services: Vec<Name> = node.admission.queues().keys().cloned().collect();
     for service in &services {
         advance(node, service);
     }
 }
 
-/// Lets those go for whom there is a place, and refuses those whom none can serve in time. Returns when
-/// to look again; `None` if nobody waits.
+/// Admits the waiting calls for which there is a slot, and refuses those that cannot be served in time.
+/// Returns when to check again, or `None` if no call waits.
 fn advance(node: &EntryNode, service: &Name) -> Option<Timestamp> {
-    let view = view(node, service);
+    let service_load = service_load(node, service);
     let now = node.now();
-    let mut ended = Vec::new();
-    let next_due = node.room.with_queue(service, |held| {
-        for fate in held.queue.advance(now, &view) {
-            let (number, end) = match fate {
-                WaitOutcome::Admit(number) => (number, Ok(())),
-                WaitOutcome::Refuse(number, refusal) => (number, Err(refusal)),
+    let mut results = Vec::new();
+    let next_due = node.admission.with_queue(service, |service_queue| {
+        for outcome in service_queue.queue.advance(now, &service_load) {
+            let (id, result) = match outcome {
+                WaitOutcome::Admit(id) => (id, Ok(())),
+                WaitOutcome::Refuse(id, refusal) => (id, Err(refusal)),
             };
-            ended.extend(held.ends.remove(&number).map(|sender| (sender, end)));
+            results.extend(service_queue.waiters.remove(&id).map(|sender| (sender, result)));
         }
-        let next_due = held.queue.next_due();
-        if next_due.is_some_and(|due| due < held.looks_at) {
-            held.wake.notify_one();
+        let next_due = service_queue.queue.next_due();
+        if next_due.is_some_and(|due| due < service_queue.next_check) {
+            service_queue.wake.notify_one();
         }
         next_due
     });
-    node.room.waiting.fetch_sub(ended.len(), Ordering::Relaxed);
-    for (sender, end) in ended {
-        // The guard of a caller that leaves just now gives its place back.
-        let _ = sender.send(end);
+    node.admission.waiting.fetch_sub(results.len(), Ordering::Relaxed);
+    for (sender, result) in results {
+        // If the caller is just disconnecting, its guard releases the slot.
+        let _ = sender.send(result);
     }
     next_due
 }
 
-/// Looks after the queue of a service until nobody waits.
+/// Checks the queue of a service until no call waits.
 async fn drive(node: Arc<EntryNode>, service: Name) {
-    let wake = node.room.with_queue(&service, |held| held.wake.clone());
-    while !node.room.with_queue(&service, ServiceQueue::is_left) {
+    let wake = node.admission.with_queue(&service, |service_queue| service_queue.wake.clone());
+    while !node.admission.with_queue(&service, ServiceQueue::try_release_driver) {
         let next_due = advance(&node, &service);
         let now = node.now();
-        let pause = next_due.map_or(Duration::ZERO, |due| due.since(now)).clamp(LEAST_PAUSE, LOOK_INTERVAL);
-        node.room.with_queue(&service, |held| held.looks_at = now + pause);
-        // Either way it is time to look again.
-        let _ = clock::timeout(pause, wake.notified()).await;
+        let delay = next_due.map_or(Duration::ZERO, |due| due.since(now)).clamp(MIN_RECHECK_DELAY, MAX_RECHECK_DELAY);
+        node.admission.with_queue(&service, |service_queue| service_queue.next_check = now + delay);
+        // Whether woken or timed out, the queue is checked again.
+        let _ = clock::timeout(delay, wake.notified()).await;
     }
 }
--- a/crates/trestlerackd/src/entry/admission/queue_wait.rs
+++ b/crates/trestlerackd/src/entry/admission/queue_wait.rs
@@ -1,6 +1,6 @@
-//! One call's wait for a place.
+//! The wait of one call for a slot.
 
-use super::{WaitEnd, advance, drive, view};
+use super::{WaitResult, advance, drive, service_load};
 use crate::entry::node::EntryNode;
 use crate::entry::shares;
 use crate::process::logs;
@@ -14,120 +14,121 @@
 };
 use trestlerack::{Name, event};
 
-/// Holds a call's place in the queue, or the place at a server that it was given, until it is dropped.
-pub struct PlaceHold {
+/// Keeps a call in the queue, or reserves the slot that it was given, until it is dropped.
+pub struct QueueGuard {
     node: Arc<EntryNode>,
     service: Name,
-    state: HoldState,
+    state: GuardState,
 }
 
-enum HoldState {
-    /// The call waits to be told of its end.
-    Waits(QueuedCallId, oneshot::Receiver<WaitEnd>),
-    /// The call was given a place out of the queue.
-    Goes,
-    /// The call has nothing to give back.
-    Free,
+enum GuardState {
+    /// The call waits in the queue for its result.
+    Waiting(QueuedCallId, oneshot::Receiver<WaitResult>),
+    /// The call was given a slot after its wait in the queue.
+    Admitted,
+    /// The call has nothing to release.
+    Released,
 }
 
-impl Drop for PlaceHold {
+impl Drop for QueueGuard {
     fn drop(&mut self) {
-        let has_place = match &mut self.state {
-            HoldState::Free => false,
-            HoldState::Goes => true,
-            HoldState::Waits(id, end) => {
-                leave(&self.node, &self.service, *id);
-                matches!(end.try_recv(), Ok(Ok(())))
+        let has_slot = match &mut self.state {
+            GuardState::Released => false,
+            GuardState::Admitted => true,
+            GuardState::Waiting(id, result) => {
+                remove_waiting(&self.node, &self.service, *id);
+                matches!(result.try_recv(), Ok(Ok(())))
             }
         };
-        if has_place {
-            self.node.room.with_queue(&self.service, |held| held.queue.finish_dispatch());
-            // Another one may have the place if this call did not take it.
-            super::place_freed(&self.node, &self.service);
+        if has_slot {
+            self.node.admission.with_queue(&self.service, |service_queue| service_queue.queue.finish_dispatch());
+            // Another call may use the slot if this one did not.
+            super::slot_freed(&self.node, &self.service);
         }
     }
 }
 
-/// Takes a call out of the queue if it still waits there.
-fn leave(node: &EntryNode, service: &Name, id: QueuedCallId) {
-    node.room.with_queue(service, |held| {
-        held.queue.remove(id);
-        if held.ends.remove(&id).is_some() {
-            node.room.waiting.fetch_sub(1, Ordering::Relaxed);
+/// Removes a call from the queue if it still waits.
+fn remove_waiting(node: &EntryNode, service: &Name, id: QueuedCallId) {
+    node.admission.with_queue(service, |service_queue| {
+        service_queue.queue.remove(id);
+        if service_queue.waiters.remove(&id).is_some() {
+            node.admission.waiting.fetch_sub(1, Ordering::Relaxed);
         }
     });
 }
 
-/// Waits until a call may go to a server, or returns why it may not.
-pub async fn wait_for_place(
+/// Waits until a call may be sent to a server, or returns why it is refused.
+pub async fn wait_for_slot(
     node: &Arc<EntryNode>,
     service: &Name,
     call: WaitingCall,
-) -> Result<PlaceHold, CallRefusal> {
-    let view = view(node, service);
-    let (now, about) = (node.now(), call.clone());
-    let mut ending = None;
-    let (admission, length) = node.room.with_queue(service, |held| {
-        let length = held.queue.len();
-        let admission = held.queue.submit(now, call, &view);
+) -> Result<QueueGuard, CallRefusal> {
+    let service_load = service_load(node, service);
+    let (now, logged_call) = (node.now(), call.clone());
+    let mut waiting = None;
+    let (admission, length) = node.admission.with_queue(service, |service_queue| {
+        let length = service_queue.queue.len();
+        let admission = service_queue.queue.submit(now, call, &service_load);
         if let AdmissionDecision::Wait { id, .. } = admission {
             let (sender, receiver) = oneshot::channel();
-            held.ends.insert(id, sender);
-            node.room.waiting.fetch_add(1, Ordering::Relaxed);
-            ending = Some((receiver, !std::mem::replace(&mut held.is_driven, true)));
+            service_queue.waiters.insert(id, sender);
+            node.admission.waiting.fetch_add(1, Ordering::Relaxed);
+            waiting = Some((receiver, !std::mem::replace(&mut service_queue.has_driver, true)));
         }
         (admission, length)
     });
-    let hold = |state| PlaceHold { node: node.clone(), service: service.clone(), state };
-    match (admission, ending) {
+    let guard = |state| QueueGuard { node: node.clone(), service: service.clone(), state };
+    match (admission, waiting) {
         (AdmissionDecision::Refuse(refusal), _) => {
             shares::note_short(node, service);
-            log_refusal(node, service, &about, refusal, &view.estimate);
+            log_refusal(node, service, &logged_call, refusal, &service_load.estimate);
             Err(refusal)
         }
         (AdmissionDecision::Wait { id, expected }, Some((receiver, is_first))) => {
             shares::note_short(node, service);
-            let hold = hold(HoldState::Waits(id, receiver));
-            node.metrics.room.queued(service, length);
-            log_wait(service, &about, length, expected, &view.estimate);
+            let guard = guard(GuardState::Waiting(id, receiver));
+            node.metrics.admission.record_queued(service, length);
+            log_wait(service, &logged_call, length, expected, &service_load.estimate);
             if is_first {
                 tokio::spawn(drive(node.clone(), service.clone()));
             } else {
                 advance(node, service);
             }
-            wait_in_queue(hold, &about).await
+            wait_in_queue(guard, &logged_call).await
         }
-        _ => Ok(hold(HoldState::Free)),
+        _ => Ok(guard(GuardState::Released)),
     }
 }
 
-async fn wait_in_queue(mut hold: PlaceHold, call: &WaitingCall) -> Result<PlaceHold, CallRefusal> {
-    let began = hold.node.now();
-    let end = match &mut hold.state {
-        // The sender is dropped unsent by the hold alone, which lives here.
-        HoldState::Waits(_, receiver) => receiver.await.unwrap_or(Ok(())),
-        HoldState::Goes | HoldState::Free => Ok(()),
+async fn wait_in_queue(mut guard: QueueGuard, call: &WaitingCall) -> Result<QueueGuard, CallRefusal> {
+    let started = guard.node.now();
+    let result = match &mut guard.state {
+        // Only the guard drops the sender without a result, and the guard still exists here.
+        GuardState::Waiting(_, receiver) => receiver.await.unwrap_or(Ok(())),
+        GuardState::Admitted | GuardState::Released => Ok(()),
     };
-    hold.node.metrics.room.waited(&hold.service, hold.node.now().since(began));
-    hold.state = if end.is_ok() { HoldState::Goes } else { HoldState::Free };
-    if let Err(refusal) = end {
-        let estimate = view(&hold.node, &hold.service).estimate;
-        log_refusal(&hold.node, &hold.service, call, refusal, &estimate);
+    guard.node.metrics.admission.record_wait(&guard.service, guard.node.now().since(started));
+    guard.state = if result.is_ok() { GuardState::Admitted } else { GuardState::Released };
+    if let Err(refusal) = result {
+        let estimate = service_load(&guard.node, &guard.service).estimate;
+        log_refusal(&guard.node, &guard.service, call, refusal, &estimate);
         return Err(refusal);
     }
-    Ok(hold)
+    Ok(guard)
 }
 
-/// Refuses a call for which no server with room will do. Returns when its caller is to come again.
-pub fn refuse_unserved(node: &EntryNode, service: &Name, call: &WaitingCall) -> Duration {
+/// Refuses a call for which none of the servers with a free slot is suitable. Returns the delay after which
+/// its caller is to retry.
+pub fn refuse_without_server(node: &EntryNode, service: &Name, call: &WaitingCall) -> Duration {
     let retry_after = AdmissionSettings::default().default_retry_after;
     let refusal = CallRefusal { reason: RefusalReason::NoServer, retry_after };
-    log_refusal(node, service, call, refusal, &view(node, service).estimate);
+    log_refusal(node, service, call, refusal, &service_load(node, service).estimate);
     retry_after
 }
 
 fn log_wait(service: &Name, call: &WaitingCall, length: usize, expected: Duration, estimate: &WaitEstimate) {
-    let age_ms = age_ms(estimate);
+    let load_age_ms = load_age_ms(estimate);
     let fields: [(&str, &dyn Display); 7] = [
         ("request", &call.id),
         ("service", service),
@@ -135,18 +136,18 @@
         ("over_share", &call.rank.is_over_share),
         ("waiting", &length),
         ("expected_ms", &expected.as_millis()),
-        ("age_ms", &age_ms),
+        ("age_ms", &load_age_ms),
     ];
     logs::write(event::CALL_WAITS, &fields);
 }
 
 fn log_refusal(node: &EntryNode, service: &Name, call: &WaitingCall, refusal: CallRefusal, estimate: &WaitEstimate) {
-    let length = node.room.with_queue(service, |held| {
-        held.counts.add(refusal.reason, call.customer.as_ref());
-        held.queue.len()
+    let length = node.admission.with_queue(service, |service_queue| {
+        service_queue.counts.add(refusal.reason, call.customer.as_ref());
+        service_queue.queue.len()
     });
-    node.metrics.room.refused(service, refusal.reason);
-    let age_ms = age_ms(estimate);
+    node.metrics.admission.record_refusal(service, refusal.reason);
+    let load_age_ms = load_age_ms(estimate);
     let fields: [(&str, &dyn Display); 9] = [
         ("request", &call.id),
         ("service", service),
@@ -155,12 +156,12 @@
         ("over_share", &call.rank.is_over_share),
         ("waiting", &length),
         ("expected_ms", &estimate.wait.as_millis()),
-        ("age_ms", &age_ms),
+        ("age_ms", &load_age_ms),
         ("return_ms", &refusal.retry_after.as_millis()),
     ];
     logs::write(event::CALL_REFUSED, &fields);
 }
 
-fn age_ms(estimate: &WaitEstimate) -> String {
+fn load_age_ms(estimate: &WaitEstimate) -> String {
     estimate.load_age.map_or_else(|| "none".to_owned(), |age| age.as_millis().to_string())
 }
--- a/crates/trestlerackd/src/entry/admission/service_calls.rs
+++ b/crates/trestlerackd/src/entry/admission/service_calls.rs
@@ -1,7 +1,7 @@
-//! Gets calls a place at a server of their service.
+//! Acquires slots at servers for calls to a service.
 
-use super::LOOK_INTERVAL;
-use super::queue_wait::{refuse_unserved, wait_for_place};
+use super::MAX_RECHECK_DELAY;
+use super::queue_wait::{refuse_without_server, wait_for_slot};
 use crate::entry::node::EntryNode;
 use crate::entry::server_ticket::ServerTicket;
 use crate::entry::shares;
@@ -12,25 +12,25 @@
 use trestlerack::version::{Customer, RequestRoute};
 use trestlerack::{Name, Timestamp, event};
 
-/// A call for a place.
-pub struct RoomCall<'a> {
+/// A call to a service that needs a slot at one of its servers.
+pub struct ServiceCall<'a> {
     /// Id of the request.
     pub id: &'a str,
-    /// Service that is to serve it.
+    /// Service that is called.
     pub service: &'a Name,
-    /// Its route.
+    /// Route of the request.
     pub route: &'a RequestRoute,
-    /// Customer that it is served for.
+    /// Customer on whose behalf the call is made.
     pub customer: Option<&'a Customer>,
-    /// Who makes it.
+    /// Kind of the caller.
     pub kind: CallKind,
-    /// When it came to this node.
+    /// When the call arrived at this node.
     pub arrived: Timestamp,
-    /// When its caller leaves.
+    /// When the caller stops waiting.
     pub deadline: Timestamp,
 }
 
-impl RoomCall<'_> {
+impl ServiceCall<'_> {
     fn customer_name(&self) -> Option<&Name> {
         self.customer.map(|customer| &customer.name)
     }
@@ -49,48 +49,53 @@
     }
 }
 
-/// Gets a call a place at the server that `pick` chooses, at once or after a wait in the queue. Returns
-/// when the caller is to return if there is none; `None` where that is not known.
-pub async fn enter(
+/// Acquires a slot at the server that `pick` chooses, at once or after a wait in the queue. If there is none,
+/// returns the delay after which the caller is to retry, or `None` if that is not known.
+pub async fn acquire_slot(
     node: &Arc<EntryNode>,
-    call: &RoomCall<'_>,
+    call: &ServiceCall<'_>,
     pick: impl Fn(ServerRoom) -> Option<ServerTicket>,
 ) -> Result<ServerTicket, Option<Duration>> {
     let waiting_call = call.waiting_call(node);
-    // A place that only looks free is tried all the same: a server that is full says so sooner than a wait
-    // would tell, and another one may have a place.
-    if !node.room.is_waited_for(call.service)
+    // A slot is tried even if it only appears to be free: a full server replies sooner than a wait in the
+    // queue would end, and another server may have a slot.
+    if !node.admission.has_waiting_calls(call.service)
         && let Some(ticket) = pick(ServerRoom::Place)
     {
         let now = node.now();
-        node.room.with_queue(call.service, |held| held.queue.record_bypass(now, &waiting_call));
+        node.admission.with_queue(call.service, |service_queue| service_queue.queue.record_bypass(now, &waiting_call));
         return Ok(ticket);
     }
     if call.kind == CallKind::Score {
-        // A score call is made again soon, and in the queue it would hold up clients.
+        // A score call is retried soon, and in the queue it would delay calls of clients.
         return Err(None);
     }
     let longest_wait = waiting_call.max_wait(&AdmissionSettings::default());
-    let hold = wait_for_place(node, call.service, waiting_call.clone()).await;
-    let hold = hold.map_err(|refusal| Some(refusal.retry_after))?;
+    let guard = wait_for_slot(node, call.service, waiting_call.clone()).await;
+    let guard = guard.map_err(|refusal| Some(refusal.retry_after))?;
     let pick = || pick(ServerRoom::Place).or_else(|| pick(ServerRoom::Any));
     let ticket = pick();
-    // Counted at the server by now, so that the next one does not take the same place.
-    drop(hold);
+    // Dropped only now that the ticket counts at the server, so that the next call does not take the same
+    // slot.
+    drop(guard);
     match ticket {
         Some(ticket) => Ok(ticket),
-        None => match search(node, call.arrived + longest_wait, pick).await {
+        None => match retry_pick(node, call.arrived + longest_wait, pick).await {
             Some(ticket) => Ok(ticket),
-            None => Err(Some(refuse_unserved(node, call.service, &waiting_call))),
+            None => Err(Some(refuse_without_server(node, call.service, &waiting_call))),
         },
     }
 }
 
-/// Looks for a server until a moment, where those that have room will not do for the call: they were
-/// tried already, or load the weights that it asks for.
-async fn search(node: &EntryNode, until: Timestamp, pick: impl Fn() -> Option<ServerTicket>) -> Option<ServerTicket> {
+/// Repeats `pick` until the time `until`. It is used if no server with a free slot is suitable for the call,
+/// since each was tried already, or is loading the weights that the call needs.
+async fn retry_pick(
+    node: &EntryNode,
+    until: Timestamp,
+    pick: impl Fn() -> Option<ServerTicket>,
+) -> Option<ServerTicket> {
     while node.now() < until {
-        clock::sleep(LOOK_INTERVAL).await;
+        clock::sleep(MAX_RECHECK_DELAY).await;
         if let Some(ticket) = pick() {
             return Some(ticket);
         }
@@ -98,31 +103,31 @@
     None
 }
 
-/// Records that a call came, which pays for a part of a second attempt.
-pub fn note_call(node: &EntryNode, call: &RoomCall<'_>) {
-    node.room.second_attempts.lock().unwrap().record_call(call.customer_name(), &call.route.name);
-    node.metrics.room.call(call.service);
+/// Records a call, which adds a fraction of a second attempt to the budget.
+pub fn record_call(node: &EntryNode, call: &ServiceCall<'_>) {
+    node.admission.second_attempts.lock().unwrap().record_call(call.customer_name(), &call.route.name);
+    node.metrics.admission.record_call(call.service);
 }
 
-/// Records that a call is sent to a server, where calls of its service are admitted by room.
-pub fn note_attempt(node: &EntryNode, service: &Name) {
-    let is_counted = node.room.queues().contains_key(service);
+/// Records that a call is sent to a server, if its service is subject to admission control.
+pub fn record_attempt(node: &EntryNode, service: &Name) {
+    let is_counted = node.admission.queues().contains_key(service);
     if is_counted {
-        node.metrics.room.attempt(service);
+        node.metrics.admission.record_attempt(service);
     }
 }
 
-/// Returns whether a call may be sent to one more server.
-pub fn may_try_again(node: &EntryNode, call: &RoomCall<'_>, reason: AttemptReason) -> bool {
-    let is_short = node.room.is_short(node.now(), call.service);
-    let mut second_attempts = node.room.second_attempts.lock().unwrap();
-    let is_paid = second_attempts.try_spend(call.customer_name(), &call.route.name, reason, is_short);
+/// Returns whether a call may be sent to another server, and spends the budget of second attempts for it.
+pub fn try_spend_attempt(node: &EntryNode, call: &ServiceCall<'_>, reason: AttemptReason) -> bool {
+    let is_overloaded = node.admission.is_overloaded(node.now(), call.service);
+    let mut second_attempts = node.admission.second_attempts.lock().unwrap();
+    let is_allowed = second_attempts.try_spend(call.customer_name(), &call.route.name, reason, is_overloaded);
     drop(second_attempts);
-    if !is_paid {
-        node.metrics.room.retry_refused(call.service);
+    if !is_allowed {
+        node.metrics.admission.record_retry_refused(call.service);
         let fields: [(&str, &dyn std::fmt::Display); 4] =
-            [("request", &call.id), ("service", call.service), ("short", &is_short), ("reason", &reason.as_str())];
+            [("request", &call.id), ("service", call.service), ("short", &is_overloaded), ("reason", &reason.as_str())];
         logs::write(event::RETRY_REFUSED, &fields);
     }
-    is_paid
+    is_allowed
 }
--- a/crates/trestlerackd/src/entry/admission/status.rs
+++ b/crates/trestlerackd/src/entry/admission/status.rs
@@ -1,17 +1,17 @@
-//! What operators are told of room: by service who waits, who is refused and why.
+//! Status page of admission control: the waiting and refused calls of each service.
 
-use super::view;
+use super::service_load;
 use crate::entry::node::EntryNode;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use trestlerack::Name;
 use trestlerack::process::RefusalReason;
 
-/// Customers that a line names at most.
-const NAMED_CUSTOMERS: usize = 5;
+/// Maximum number of customers that a row lists.
+const MAX_LISTED_CUSTOMERS: usize = 5;
 
-/// Customers whose refusals are counted at most.
-const COUNTED_CUSTOMERS: usize = 256;
+/// Maximum number of customers whose refusals are counted, per service.
+const MAX_COUNTED_CUSTOMERS: usize = 256;
 
 /// Refusals of one service since the node started.
 #[derive(Debug, Default)]
@@ -25,68 +25,72 @@
     pub fn add(&mut self, reason: RefusalReason, customer: Option<&Name>) {
         *self.by_reason.entry(reason).or_default() += 1;
         let Some(customer) = customer else { return };
-        if self.by_customer.len() < COUNTED_CUSTOMERS || self.by_customer.contains_key(customer) {
+        if self.by_customer.len() < MAX_COUNTED_CUSTOMERS || self.by_customer.contains_key(customer) {
             *self.by_customer.entry(customer.clone()).or_default() += 1;
         }
     }
 }
 
-/// A line on one service.
+/// Row of the status page for one service.
 #[derive(Serialize)]
-pub struct RoomLine {
+pub struct AdmissionStatus {
     service: Name,
     waiting: usize,
-    /// Priority of the first one that waits.
+    /// Priority of the first waiting call.
     first_priority: Option<u8>,
-    places: u32,
-    free: u32,
-    /// Expected wait; `None` while no place is in sight.
+    #[serde(rename = "places")]
+    slots: u32,
+    #[serde(rename = "free")]
+    free_slots: u32,
+    /// Expected wait in milliseconds; `None` if no slot is expected to become free.
     wait_ms: Option<u64>,
-    /// Age of the youngest load that a server stated.
-    age_ms: Option<u64>,
-    /// Customers with most calls that wait, with how many.
+    /// Age in milliseconds of the latest load that a server reported.
+    #[serde(rename = "age_ms")]
+    load_age_ms: Option<u64>,
+    /// Customers with the most waiting calls, with their numbers.
     waiting_customers: String,
-    /// Refusals by reason.
+    /// Number of refusals by reason.
     refused: String,
-    /// Customers with most refusals, with how many.
+    /// Customers with the most refusals, with their numbers.
     refused_customers: String,
 }
 
-/// Returns a line for each service for which calls were admitted here.
-pub fn lines(node: &EntryNode) -> Vec<RoomLine> {
-    let mut services: Vec<Name> = node.room.queues().keys().cloned().collect();
+/// Returns a row for each service that has a queue at this node.
+pub fn status(node: &EntryNode) -> Vec<AdmissionStatus> {
+    let mut services: Vec<Name> = node.admission.queues().keys().cloned().collect();
     services.sort();
-    services.into_iter().map(|service| line(node, service)).collect()
+    services.into_iter().map(|service| service_status(node, service)).collect()
 }
 
-fn line(node: &EntryNode, service: Name) -> RoomLine {
-    let estimate = view(node, &service).estimate;
+fn service_status(node: &EntryNode, service: Name) -> AdmissionStatus {
+    let estimate = service_load(node, &service).estimate;
     let millis = |time: std::time::Duration| u64::try_from(time.as_millis()).ok();
-    node.room.with_queue(&service, |held| {
+    node.admission.with_queue(&service, |service_queue| {
         let mut waiting_customers: BTreeMap<Name, u64> = BTreeMap::new();
-        for customer in held.queue.calls().filter_map(|call| call.customer.clone()) {
+        for customer in service_queue.queue.calls().filter_map(|call| call.customer.clone()) {
             *waiting_customers.entry(customer).or_default() += 1;
         }
-        let refused = held.counts.by_reason.iter().map(|(reason, count)| format!("{}:{count}", reason.as_str()));
-        RoomLine {
+        let refused =
+            service_queue.counts.by_reason.iter().map(|(reason, count)| format!("{}:{count}", reason.as_str()));
+        AdmissionStatus {
             service: service.clone(),
-            waiting: held.queue.len(),
-            first_priority: held.queue.calls().next().map(|call| call.rank.priority),
-            places: estimate.slots,
-            free: estimate.free_slots,
+            waiting: service_queue.queue.len(),
+            first_priority: service_queue.queue.calls().next().map(|call| call.rank.priority),
+            slots: estimate.slots,
+            free_slots: estimate.free_slots,
             wait_ms: millis(estimate.wait),
-            age_ms: estimate.load_age.and_then(millis),
-            waiting_customers: most(&waiting_customers),
+            load_age_ms: estimate.load_age.and_then(millis),
+            waiting_customers: highest_counts(&waiting_customers),
             refused: refused.collect::<Vec<_>>().join(", "),
-            refused_customers: most(&held.counts.by_customer),
+            refused_customers: highest_counts(&service_queue.counts.by_customer),
         }
     })
 }
 
-/// Returns the customers with the highest counts.
-fn most(counts: &BTreeMap<Name, u64>) -> String {
+/// Returns the customers with the highest counts, as `name:count` separated by commas.
+fn highest_counts(counts: &BTreeMap<Name, u64>) -> String {
     let mut counts: Vec<(&Name, u64)> = counts.iter().map(|(name, count)| (name, *count)).collect();
     counts.sort_by_key(|(_, count)| std::cmp::Reverse(*count));
-    let named = counts.into_iter().take(NAMED_CUSTOMERS).map(|(name, count)| format!("{name}:{count}"));
-    named.collect::<Vec<_>>().join(", ")
+    let listed = counts.into_iter().take(MAX_LISTED_CUSTOMERS).map(|(name, count)| format!("{name}:{count}"));
+    listed.collect::<Vec<_>>().join(", ")
 }
--- a/crates/trestlerackd/src/entry/attempt.rs
+++ b/crates/trestlerackd/src/entry/attempt.rs
@@ -140,7 +140,7 @@
         let is_gone = platform::names_instance(&parts.headers).is_some_and(|other| other != instance);
         note_refusal(node, &instance, is_gone);
         if !is_gone {
-            admission::note_full(node, &ticket.server.service);
+            admission::record_full_server(node, &ticket.server.service);
         }
         keep_after_body(node, body, lease, &head).await;
         return Err(AttemptError::NotRun(format!("refused with {}", parts.status)));
--- a/crates/trestlerackd/src/entry/attempts.rs
+++ b/crates/trestlerackd/src/entry/attempts.rs
@@ -4,7 +4,7 @@
 //! in time; see [docs/design/uneven-load.md](../../../../docs/design/uneven-load.md#parts).
 
 use super::attempt::{self, AttemptError, WholeAnswer};
-use super::front::ClientRequest;
+use super::client_requests::ClientRequest;
 use super::node::EntryNode;
 use super::plain::{self, Shortfall};
 use super::server_answers::{self, AnswerWatch};
@@ -226,7 +226,7 @@
             }
         };
         let server = ticket.server.instance.clone();
-        let is_trial = hedging::is_trial(self.node, &server);
+        let is_trial = hedging::is_probe(self.node, &server);
         state.open.push(OpenAttempt { server, watch: AnswerWatch::start(self.node), is_trial });
         Some(ticket)
     }
@@ -245,7 +245,7 @@
             state.is_late = true;
             state.wants_server = true;
         } else {
-            state.wants_server = hedging::has_place(self.node, service);
+            state.wants_server = hedging::has_free_slot(self.node, service);
         }
     }
 
@@ -288,12 +288,12 @@
         let pick = |room| plain::pick_server(node, route, request, fingerprint, trail.tried(), room);
         let ticket = pick(ServerRoom::Place)?;
         let call = plain::room_call(route, request, trail.started(), deadline)?;
-        if is_early && !before.is_trial && !admission::may_try_again(node, &call, AttemptReason::Hedge) {
+        if is_early && !before.is_trial && !admission::try_spend_attempt(node, &call, AttemptReason::Hedge) {
             return None;
         }
         trail.add(&ticket.server.instance);
         let (id, waited) = (request.id(), node.now().since(before.watch.started));
-        hedging::log_asked(id, &ticket.server.instance, waited);
+        hedging::log_hedge(id, &ticket.server.instance, waited);
         Some(ticket)
     }
 
@@ -308,7 +308,7 @@
         if late <= node.now() {
             return NextServer::Never;
         }
-        let early = self.service().and_then(|service| hedging::after(node, route, service));
+        let early = self.service().and_then(|service| hedging::hedge_delay(node, route, service));
         match early.map(|early| last.watch.started + early) {
             Some(early) if !state.is_early_over && early < late => NextServer::Early(early),
             _ => NextServer::Late(late),
--- a/crates/trestlerackd/src/entry/client_connections.rs
+++ b/crates/trestlerackd/src/entry/client_connections.rs
@@ -1,6 +1,6 @@
 //! Accepts the connections of clients and serves each until it ends.
 
-use super::front;
+use super::client_requests;
 use super::node::EntryNode;
 use super::resource_limits::{ClientConnection, ConnectionAdmission, ConnectionGuard, TrackedBody, WatchedStream};
 use crate::process::clock;
@@ -122,18 +122,18 @@
     connection: &Arc<ClientConnection>,
     request: Request<Incoming>,
     handling: RequestHandling,
-) -> Response<front::ReplyBody> {
+) -> Response<client_requests::ReplyBody> {
     connection.set_busy();
     let reply = match handling {
-        RequestHandling::Serve => front::answer(node, request).await,
+        RequestHandling::Serve => client_requests::handle(node, request).await,
         RequestHandling::Refuse => refuse(&request),
     };
     TrackedBody::wrap(node, connection, reply)
 }
 
-fn refuse(request: &Request<Incoming>) -> Response<front::ReplyBody> {
+fn refuse(request: &Request<Incoming>) -> Response<client_requests::ReplyBody> {
     let head = platform::decode_client_head(request.headers());
-    let mut reply = platform::not_run_reply(head.request_id.as_ref(), FULL_RETRY_DELAY).map(front::full_reply);
+    let mut reply = platform::not_run_reply(head.request_id.as_ref(), FULL_RETRY_DELAY).map(client_requests::full_body);
     reply.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     reply
 }
--- a/crates/trestlerackd/src/entry/front.rs
+++ b/crates/trestlerackd/src/entry/client_requests.rs
@@ -1,8 +1,8 @@
-//! Serves clients: reads each request and hands it to what it is about.
+//! Handles client requests: reads each one, identifies its caller and dispatches it by kind.
 
 use super::callers::{self, CallerAnswer};
 use super::node::EntryNode;
-use super::resource_limits::{self, BodyError};
+use super::resource_limits::{self, RequestBodyError};
 use super::{job_accept, job_calls, plain};
 use crate::process::logs;
 use bytes::Bytes;
@@ -20,26 +20,26 @@
 use trestlerack::{Name, event};
 use trestlerack_platform::{self as platform, ClientHead, FrontCall};
 
-/// Time after which a client is told to return while this node knows no configuration.
-const NO_CONFIG_RETURN: Duration = Duration::from_millis(200);
+/// Delay after which a client is told to retry while this node knows no configuration.
+const NO_CONFIG_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Time after which a client is told to return whose key or route could not be looked up.
-const UNSURE_RETURN: Duration = Duration::from_millis(300);
+/// Delay after which a client is told to retry if its key or route could not be looked up.
+const LOOKUP_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Time after which a client is told to return for whose body there is no room. Those before it are read
-/// by then, or are refused for their pace.
-const ROOM_RETURN: Duration = Duration::from_millis(500);
+/// Delay after which a client is told to retry if there is no memory for its body. By then the earlier bodies
+/// have been read, or have been refused as too slow.
+const MEMORY_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Time for a body whose request no route matches.
-const UNROUTED_BODY_TIME: Duration = Duration::from_secs(5);
+/// Time limit for the body of a request that matches no route.
+const UNROUTED_BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Body of a reply.
-pub type ReplyBody = UnsyncBoxBody<Bytes, BrokenReply>;
+/// Body of a reply to a client.
+pub type ReplyBody = UnsyncBoxBody<Bytes, ReplyError>;
 
-/// Why a reply breaks off; hyper then closes the connection without ending the reply.
-pub type BrokenReply = Box<dyn std::error::Error + Send + Sync>;
+/// Why a reply is incomplete. hyper then closes the connection without terminating the reply.
+pub type ReplyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// A request that was read whole.
+/// A client request that has been read completely.
 pub struct ClientRequest {
     /// Method.
     pub method: Method,
@@ -51,47 +51,47 @@
     pub path_and_query: String,
     /// Headers.
     pub headers: HeaderMap,
-    /// What the headers say.
+    /// Values decoded from the headers.
     pub head: ClientHead,
-    /// Who it is served for.
+    /// Identity of the caller.
     pub caller: CallerVerdict,
     /// Body.
     pub body: Bytes,
-    /// Count of the bytes of the body, which are given back with the request.
-    pub held: MemoryReservation,
+    /// Memory reserved for the body, which is released with the request.
+    pub reservation: MemoryReservation,
 }
 
 impl ClientRequest {
-    /// Returns the id of the request; empty if it has none.
+    /// Returns the id of the request, or an empty string if it has none.
     pub fn id(&self) -> &str {
         self.head.request_id.as_deref().unwrap_or("")
     }
 
-    /// Returns the name of the customer that the request is served for.
+    /// Returns the name of the customer on whose behalf the request is served.
     pub fn customer(&self) -> Option<&Name> {
         self.caller.customer().map(|customer| &customer.name)
     }
 
-    /// Drops the body, of which nothing more is needed.
+    /// Drops the body and releases its memory once it is no longer needed.
     pub fn drop_body(&mut self) {
         self.body = Bytes::new();
-        self.held.resize(0);
+        self.reservation.resize(0);
     }
 
-    /// Returns the fingerprint of what the request asks for.
+    /// Returns the fingerprint of the content of the request.
     pub fn fingerprint(&self) -> RequestFingerprint {
         let customer = self.customer().map(|name| &**name);
         RequestContent { customer, host: &self.host, path: &self.path_and_query, body: &self.body }.fingerprint()
     }
 }
 
-/// Builds a reply body that is whole.
-pub fn full_reply(body: impl Into<Bytes>) -> ReplyBody {
+/// Builds a complete reply body.
+pub fn full_body(body: impl Into<Bytes>) -> ReplyBody {
     Full::new(body.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// Answers a request.
-pub async fn answer(node: &Arc<EntryNode>, request: Request<Incoming>) -> Response<ReplyBody> {
+/// Handles a request and returns the reply.
+pub async fn handle(node: &Arc<EntryNode>, request: Request<Incoming>) -> Response<ReplyBody> {
     let (mut parts, body) = request.into_parts();
     let credential = platform::take_credential(&mut parts.headers);
     let head = platform::decode_client_head(&parts.headers);
@@ -102,7 +102,7 @@
     }
     let Some(routing) = node.routing() else {
         logs::write(event::REQUEST_REFUSED, &[("request", &or_empty(&id)), ("why", &"no configuration is known")]);
-        return platform::not_run_reply(id.as_ref(), NO_CONFIG_RETURN).map(full_reply);
+        return platform::not_run_reply(id.as_ref(), NO_CONFIG_RETRY_DELAY).map(full_body);
     };
     let host = parts.headers.get(header::HOST).and_then(|value| value.to_str().ok()).unwrap_or("");
     let mut request = ClientRequest {
@@ -114,16 +114,16 @@
         head,
         caller: CallerVerdict::Unknown,
         body: Bytes::new(),
-        held: node.resource_limits.memory.reserve(MemoryPurpose::Bodies, 0),
+        reservation: node.resource_limits.memory.reserve(MemoryPurpose::Bodies, 0),
     };
-    if let Err(refusal) = take_body(node, &routing, &mut request, body).await {
+    if let Err(refusal) = receive_body(node, &routing, &mut request, body).await {
         return refusal;
     }
     let call = platform::classify_call(&request.method, &request.path, parts.uri.query().unwrap_or(""));
     let mut reply = match identify(node, &routing, &call, &mut request, &credential).await {
         Ok(()) => {
             if let Some(customer) = request.caller.customer() {
-                request.held.set_customer(&customer.name);
+                request.reservation.set_customer(&customer.name);
             }
             dispatch(node, call, request).await
         }
@@ -138,8 +138,8 @@
     reply
 }
 
-/// Reads the body of a request, or returns the reply that refuses it.
-async fn take_body(
+/// Reads the body of a request. Returns the reply that refuses the request if that fails.
+async fn receive_body(
     node: &Arc<EntryNode>,
     routing: &RoutingTable,
     request: &mut ClientRequest,
@@ -147,30 +147,30 @@
 ) -> Result<(), Response<ReplyBody>> {
     let route = routing.select(&request.host, &request.path);
     let time_left = request.head.time_left;
-    let limit = route.map_or(UNROUTED_BODY_TIME, |route| plain::time_limit(route, time_left));
+    let limit = route.map_or(UNROUTED_BODY_TIMEOUT, |route| plain::time_limit(route, time_left));
     let id = or_empty(&request.head.request_id);
     match resource_limits::read_body(node, &id, body, routing.limits.max_body_bytes, limit).await {
-        Ok((body, held)) => {
-            (request.body, request.held) = (body, held);
+        Ok((body, reservation)) => {
+            (request.body, request.reservation) = (body, reservation);
             Ok(())
         }
         Err(refusal) => Err(refuse_body(request.head.request_id.as_ref(), &refusal)),
     }
 }
 
-fn refuse_body(id: Option<&Name>, refusal: &BodyError) -> Response<ReplyBody> {
-    let mut reply = match refusal {
-        BodyError::TooLarge => {
+fn refuse_body(id: Option<&Name>, error: &RequestBodyError) -> Response<ReplyBody> {
+    let mut reply = match error {
+        RequestBodyError::TooLarge => {
             let why = "the body is too large";
             logs::write(event::REQUEST_REFUSED, &[("request", &or_empty(&id.cloned())), ("why", &why)]);
-            return own_reply(StatusCode::PAYLOAD_TOO_LARGE, id);
+            return empty_reply(StatusCode::PAYLOAD_TOO_LARGE, id);
         }
-        BodyError::Broken(why) => {
+        RequestBodyError::Broken(why) => {
             logs::write(event::REQUEST_REFUSED, &[("request", &or_empty(&id.cloned())), ("why", why)]);
-            return own_reply(StatusCode::BAD_REQUEST, id);
+            return empty_reply(StatusCode::BAD_REQUEST, id);
         }
-        BodyError::MemoryExhausted => return platform::not_run_reply(id, ROOM_RETURN).map(full_reply),
-        BodyError::TooSlow => own_reply(StatusCode::REQUEST_TIMEOUT, id),
+        RequestBodyError::MemoryExhausted => return platform::not_run_reply(id, MEMORY_RETRY_DELAY).map(full_body),
+        RequestBodyError::TooSlow => empty_reply(StatusCode::REQUEST_TIMEOUT, id),
     };
     reply.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     reply
@@ -180,12 +180,12 @@
     id.clone().unwrap_or_else(|| "".into())
 }
 
-/// Builds a reply of this system's own without a body.
-pub fn own_reply(status: StatusCode, id: Option<&Name>) -> Response<ReplyBody> {
-    platform::plain_reply(status, id, "").map(full_reply)
+/// Builds a reply without a body that this system makes itself, not a backend server.
+pub fn empty_reply(status: StatusCode, id: Option<&Name>) -> Response<ReplyBody> {
+    platform::plain_reply(status, id, "").map(full_body)
 }
 
-/// Finds out who the request is served for, or returns the reply that refuses it.
+/// Identifies the caller of a request. Returns the reply that refuses the request if that fails.
 async fn identify(
     node: &Arc<EntryNode>,
     routing: &RoutingTable,
@@ -196,36 +196,36 @@
     let is_public = match call {
         FrontCall::Routed => match routing.select(&request.host, &request.path) {
             Some(route) => route.is_public,
-            None => find_new_route(node, request).await?,
+            None => find_route_again(node, request).await?,
         },
-        // Whether the caller may see the job is judged once the job is known.
+        // Whether the caller may access the job is checked once the job is known.
         _ => true,
     };
     match callers::identify(node, routing, is_public, credential).await {
-        CallerAnswer::Serve(verdict) => {
-            request.caller = verdict;
+        CallerAnswer::Serve(caller) => {
+            request.caller = caller;
             Ok(())
         }
         CallerAnswer::Denied => Err(refuse(request, routing, "no customer holds the key", StatusCode::UNAUTHORIZED)),
         CallerAnswer::Unsure => {
-            let why = "the key is not known and the store does not answer";
+            let why = "the API key is unknown and the store does not respond";
             log_refusal(request, routing, why);
-            Err(platform::not_run_reply(request.head.request_id.as_ref(), UNSURE_RETURN).map(full_reply))
+            Err(platform::not_run_reply(request.head.request_id.as_ref(), LOOKUP_RETRY_DELAY).map(full_body))
         }
     }
 }
 
-/// Reads the configuration once more for a route that is not known. Returns whether the route is open
-/// to all, or the reply if there is none. A node may be some seconds behind.
-async fn find_new_route(node: &Arc<EntryNode>, request: &ClientRequest) -> Result<bool, Response<ReplyBody>> {
+/// Reads the configuration again if a request matches no route, since the configuration of a node may be some
+/// seconds old. Returns whether the route is public, or the reply that refuses the request.
+async fn find_route_again(node: &Arc<EntryNode>, request: &ClientRequest) -> Result<bool, Response<ReplyBody>> {
     let is_fresh = callers::refresh(node).await;
-    let Some(newest) = node.routing() else { return Err(own_reply(StatusCode::NOT_FOUND, None)) };
+    let Some(newest) = node.routing() else { return Err(empty_reply(StatusCode::NOT_FOUND, None)) };
     match newest.select(&request.host, &request.path) {
         Some(route) => Ok(route.is_public),
         None if is_fresh => Err(refuse(request, &newest, "no route matches", StatusCode::NOT_FOUND)),
         None => {
-            log_refusal(request, &newest, "no route matches and the store does not answer");
-            Err(platform::not_run_reply(request.head.request_id.as_ref(), UNSURE_RETURN).map(full_reply))
+            log_refusal(request, &newest, "no route matches and the store does not respond");
+            Err(platform::not_run_reply(request.head.request_id.as_ref(), LOOKUP_RETRY_DELAY).map(full_body))
         }
     }
 }
@@ -237,7 +237,7 @@
     status: StatusCode,
 ) -> Response<ReplyBody> {
     log_refusal(request, routing, why);
-    own_reply(status, request.head.request_id.as_ref())
+    empty_reply(status, request.head.request_id.as_ref())
 }
 
 fn log_refusal(request: &ClientRequest, routing: &RoutingTable, why: &'static str) {
@@ -250,16 +250,17 @@
         FrontCall::ReadResults { job, from } => job_calls::read_results(node, &job, from, &request).await,
         FrontCall::ReadItem { job, item } => job_calls::read_item(node, &job, &item, &request).await,
         FrontCall::EndJob { job } => job_calls::end_job(node, &job, &request).await,
-        FrontCall::Unknown => own_reply(StatusCode::NOT_FOUND, request.head.request_id.as_ref()),
+        FrontCall::Unknown => empty_reply(StatusCode::NOT_FOUND, request.head.request_id.as_ref()),
         FrontCall::Routed => serve_routed(node, request).await,
     }
 }
 
-/// Serves a request by the newest configuration, which may have come while the caller was identified.
+/// Serves a request with the newest configuration, which may have been loaded while the caller was
+/// identified.
 async fn serve_routed(node: &Arc<EntryNode>, request: ClientRequest) -> Response<ReplyBody> {
     let routing = node.routing();
     let Some(routing) = routing.as_deref() else {
-        return platform::not_run_reply(request.head.request_id.as_ref(), NO_CONFIG_RETURN).map(full_reply);
+        return platform::not_run_reply(request.head.request_id.as_ref(), NO_CONFIG_RETRY_DELAY).map(full_body);
     };
     match routing.select(&request.host, &request.path) {
         None => refuse(&request, routing, "no route matches", StatusCode::NOT_FOUND),
--- a/crates/trestlerackd/src/entry/engine_memory.rs
+++ b/crates/trestlerackd/src/entry/engine_memory.rs
@@ -1,7 +1,7 @@
-//! Requests that the memory of model engines has no room for: what becomes of them, and what operators
-//! are told.
+//! Requests that do not fit into the memory of model engines: how they are handled, and logs and metrics for
+//! operators.
 
-use super::front::ClientRequest;
+use super::client_requests::ClientRequest;
 use super::job_driver::JobDriver;
 use super::node::EntryNode;
 use crate::process::logs;
@@ -11,14 +11,14 @@
 use trestlerack::request::JobTracker;
 use trestlerack::version::RequestRoute;
 
-/// Time for which an item is put off that an engine refused and that is expected to need more than any
-/// engine holds. Each try keeps an engine free of other runs.
-const OVERSIZE_PAUSE: Duration = Duration::from_secs(4);
+/// Delay before an item is tried again that an engine refused and that is expected to need more memory than
+/// any engine has. Each attempt keeps an engine free of other runs.
+const OVERSIZE_RETRY_DELAY: Duration = Duration::from_secs(4);
 
-/// Most engines whose tokens are shown in the metrics, the fullest first.
-const SHOWN_ENGINES: usize = 32;
+/// Maximum number of engines whose tokens the metrics show, the fullest first.
+const MAX_LISTED_ENGINES: usize = 32;
 
-/// Returns whether the prompt of a client's request alone fills any engine, and logs that.
+/// Returns whether the prompt of a client's request alone fills the memory of any engine, and logs it.
 pub fn is_too_large(node: &EntryNode, route: &RequestRoute, request: &ClientRequest) -> bool {
     let Some(tokens) = request.head.tokens else { return false };
     let id = request.id();
@@ -34,22 +34,22 @@
     is_too_large
 }
 
-/// Logs the engines that were left for `request` because their memory is spoken for, each at most once
-/// a second.
-pub fn log_left(node: &EntryNode, request: &str, need: &ServerNeed<'_>) {
+/// Logs the engines that were skipped for `request` because their memory is reserved, each at most once per
+/// second.
+pub fn log_full_engines(node: &EntryNode, request: &str, need: &ServerNeed<'_>) {
     let Some(tokens) = need.tokens else { return };
     let now = node.now();
-    let left = node.board.lock().unwrap().left_for_memory(now, need);
-    for (engine, held) in left {
-        let wanted = tokens.alone();
+    let skipped = node.board.lock().unwrap().left_for_memory(now, need);
+    for (engine, held) in skipped {
+        let needed = tokens.alone();
         let fields: [(&str, &dyn std::fmt::Display); 4] =
-            [("request", &request), ("engine", &engine), ("held", &held), ("wanted", &wanted)];
+            [("request", &request), ("engine", &engine), ("held", &held), ("wanted", &needed)];
         logs::write(event::ENGINE_FULL, &fields);
     }
 }
 
-/// Returns whether an item is expected to need more than any engine holds, and logs that once. Such an
-/// item isn't given up: its output is an estimate, and only an engine can refuse it.
+/// Returns whether an item is expected to need more memory than any engine has, and logs it once per item.
+/// Such an item is not given up: the length of its output is an estimate, and only an engine can refuse it.
 pub fn is_oversize(node: &EntryNode, driver: &JobDriver, index: usize, service: &str) -> bool {
     let Some(tokens) = driver.tokens[index] else { return false };
     let (is_oversize, capacity) = {
@@ -57,27 +57,26 @@
         (memory.is_oversize(service, &tokens), memory.capacity(service).unwrap_or(0))
     };
     if is_oversize && driver.oversize.lock().unwrap().insert(index) {
-        let (item, job, wanted) = (&driver.spec.items[index].id, &driver.spec.id, tokens.alone());
+        let (item, job, needed) = (&driver.spec.items[index].id, &driver.spec.id, tokens.alone());
         let fields: [(&str, &dyn std::fmt::Display); 4] =
-            [("item", item), ("job", job), ("wanted", &wanted), ("capacity", &capacity)];
+            [("item", item), ("job", job), ("wanted", &needed), ("capacity", &capacity)];
         logs::write(event::ITEM_OVERSIZE, &fields);
     }
     is_oversize
 }
 
-/// Puts an item off that an engine refused, if it was found to be too large for any.
-pub fn put_off_oversize(node: &EntryNode, driver: &JobDriver, ledger: &mut JobTracker, index: usize) {
+/// Defers an item that an engine refused, if it was found to be too large for any engine.
+pub fn defer_oversize(node: &EntryNode, driver: &JobDriver, tracker: &mut JobTracker, index: usize) {
     if driver.oversize.lock().unwrap().contains(&index) {
-        ledger.defer(index, node.now() + OVERSIZE_PAUSE);
+        tracker.defer(index, node.now() + OVERSIZE_RETRY_DELAY);
     }
 }
 
-/// Returns the lines of the metrics page that tell which engines hold how many tokens of this node's
-/// runs.
+/// Returns the lines of the metrics page with the tokens that this node's runs use at each engine.
 pub fn metrics_lines(node: &EntryNode) -> String {
-    let holders = node.board.lock().unwrap().memory.holders();
+    let usage = node.board.lock().unwrap().memory.holders();
     let line = |(engine, tokens): &(trestlerack::Name, u64)| {
         format!("trestlerack_entry_engine_tokens{{engine=\"{engine}\"}} {tokens}\n")
     };
-    holders.iter().take(SHOWN_ENGINES).map(line).collect()
+    usage.iter().take(MAX_LISTED_ENGINES).map(line).collect()
 }
--- a/crates/trestlerackd/src/entry/job_accept.rs
+++ b/crates/trestlerackd/src/entry/job_accept.rs
@@ -1,6 +1,6 @@
 //! Accepts batch jobs: each once, whatever the store's replies.
 
-use super::front::{ClientRequest, ReplyBody, full_reply, own_reply};
+use super::client_requests::{ClientRequest, ReplyBody, empty_reply, full_body};
 use super::job_calls::{SETTLE_PAUSE, SETTLE_TIME, spec_object};
 use super::node::EntryNode;
 use super::tables;
@@ -29,13 +29,13 @@
 pub async fn submit(node: &Arc<EntryNode>, route: &RequestRoute, mut request: ClientRequest) -> Response<ReplyBody> {
     let started = node.now();
     let Some(id) = request.head.request_id.clone() else {
-        return own_reply(StatusCode::BAD_REQUEST, None);
+        return empty_reply(StatusCode::BAD_REQUEST, None);
     };
     let spec = match platform::decode_job(&id, &request.host, &request.path, &request.body) {
         Ok(spec) => Arc::new(spec),
         Err(error) => {
             logs::write(event::REQUEST_REFUSED, &[("request", &id), ("why", &error)]);
-            return platform::plain_reply(StatusCode::BAD_REQUEST, Some(&id), error.to_string()).map(full_reply);
+            return platform::plain_reply(StatusCode::BAD_REQUEST, Some(&id), error.to_string()).map(full_body);
         }
     };
     // What was decoded takes the place of the body, also while the store is away.
@@ -43,13 +43,13 @@
     let outcome = accept(node, &spec, request.customer()).await;
     let took = node.now().since(started);
     let (status, reply) = match &outcome {
-        Ok(_) => (StatusCode::ACCEPTED, own_reply(StatusCode::ACCEPTED, Some(&id))),
-        Err(Refusal::OtherJob) => (StatusCode::CONFLICT, own_reply(StatusCode::CONFLICT, Some(&id))),
+        Ok(_) => (StatusCode::ACCEPTED, empty_reply(StatusCode::ACCEPTED, Some(&id))),
+        Err(Refusal::OtherJob) => (StatusCode::CONFLICT, empty_reply(StatusCode::CONFLICT, Some(&id))),
         Err(Refusal::NotAccepted) => {
-            let reply = platform::not_run_reply(Some(&id), STORE_RETURN).map(full_reply);
+            let reply = platform::not_run_reply(Some(&id), STORE_RETURN).map(full_body);
             (StatusCode::SERVICE_UNAVAILABLE, reply)
         }
-        Err(Refusal::Unknown) => (StatusCode::BAD_GATEWAY, own_reply(StatusCode::BAD_GATEWAY, Some(&id))),
+        Err(Refusal::Unknown) => (StatusCode::BAD_GATEWAY, empty_reply(StatusCode::BAD_GATEWAY, Some(&id))),
     };
     let ms = took.as_millis();
     let (items, store_version) = (spec.items.len(), outcome.as_ref().copied().unwrap_or(0));
--- a/crates/trestlerackd/src/entry/job_calls.rs
+++ b/crates/trestlerackd/src/entry/job_calls.rs
@@ -1,6 +1,6 @@
 //! Calls of clients about jobs that were accepted: read results, read a body, end.
 
-use super::front::{ClientRequest, ReplyBody, full_reply, own_reply};
+use super::client_requests::{ClientRequest, ReplyBody, empty_reply, full_body};
 use super::node::{EntryNode, JobView};
 use super::tables;
 use crate::process::clock;
@@ -71,11 +71,11 @@
     match doubt {
         JobDoubt::Missing => {
             logs::write(event::JOB_READ_FAILED, &[("job", job), ("why", &"no such job")]);
-            own_reply(StatusCode::NOT_FOUND, id)
+            empty_reply(StatusCode::NOT_FOUND, id)
         }
         JobDoubt::Unsure => {
             logs::write(event::JOB_READ_FAILED, &[("job", job), ("why", &"the store cannot be asked")]);
-            platform::not_run_reply(id, DOUBT_RETURN).map(full_reply)
+            platform::not_run_reply(id, DOUBT_RETURN).map(full_body)
         }
     }
 }
@@ -111,13 +111,13 @@
         Ok(body) => json_reply(body, request),
         Err(error) => {
             logs::write(event::JOB_READ_FAILED, &[("job", job), ("why", &error)]);
-            own_reply(StatusCode::INTERNAL_SERVER_ERROR, request.head.request_id.as_ref())
+            empty_reply(StatusCode::INTERNAL_SERVER_ERROR, request.head.request_id.as_ref())
         }
     }
 }
 
 fn json_reply(body: Bytes, request: &ClientRequest) -> Response<ReplyBody> {
-    let mut reply = platform::plain_reply(StatusCode::OK, request.head.request_id.as_ref(), body).map(full_reply);
+    let mut reply = platform::plain_reply(StatusCode::OK, request.head.request_id.as_ref(), body).map(full_body);
     reply.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
     reply
 }
@@ -198,8 +198,8 @@
         },
     };
     match spec.items.iter().find(|held| held.id == *item) {
-        Some(held) => platform::plain_reply(StatusCode::OK, id, held.body.clone()).map(full_reply),
-        None => own_reply(StatusCode::NOT_FOUND, id),
+        Some(held) => platform::plain_reply(StatusCode::OK, id, held.body.clone()).map(full_body),
+        None => empty_reply(StatusCode::NOT_FOUND, id),
     }
 }
 
@@ -235,13 +235,13 @@
             RowTransaction::new(job.clone()).put(tables::STATE, tables::END, tables::encode(&node.settings.name));
         if !settle_write(node, transaction).await {
             logs::write(event::JOB_READ_FAILED, &[("job", job), ("why", &"the end cannot be stored")]);
-            return own_reply(StatusCode::BAD_GATEWAY, id);
+            return empty_reply(StatusCode::BAD_GATEWAY, id);
         }
         logs::write(event::JOB_ENDED, &[("job", job), ("listed", &view.head.recorded), ("total", &view.head.total)]);
         node.learn_end(job);
         tokio::spawn(tell_owner(node.clone(), job.clone(), view.head.owner_address.clone()));
     }
-    own_reply(StatusCode::OK, id)
+    empty_reply(StatusCode::OK, id)
 }
 
 /// Tells the owner of a job that it is ended, so that it does not run items until its watch says so.
--- a/crates/trestlerackd/src/entry/job_runs.rs
+++ b/crates/trestlerackd/src/entry/job_runs.rs
@@ -74,7 +74,7 @@
         }
         drop(board);
         let (entry, is_apart) = choose_engine(node, driver.fingerprints[index], &need);
-        engine_memory::log_left(node, &item.id, &need);
+        engine_memory::log_full_engines(node, &item.id, &need);
         let is_oversize = engine_memory::is_oversize(node, driver, index, need.service);
         match entry {
             // The item waits until what is held leaves room for its text.
@@ -240,7 +240,7 @@
         RunKind::Primary => {
             let is_whole = ledger.end_run(node.now(), index, end);
             if end == RunEnd::NotRun {
-                engine_memory::put_off_oversize(node, driver, &mut ledger, index);
+                engine_memory::defer_oversize(node, driver, &mut ledger, index);
             }
             (is_whole, RunKind::Speculative)
         }
--- a/crates/trestlerackd/src/entry/metrics.rs
+++ b/crates/trestlerackd/src/entry/metrics.rs
@@ -1,6 +1,6 @@
 //! Counters and histograms, served as text on the metrics address.
 
-use super::admission::RoomMetrics;
+use super::admission::AdmissionMetrics;
 use super::node::EntryNode;
 use super::{engine_memory, resource_limits, status};
 use http::StatusCode;
@@ -36,7 +36,7 @@
     servers_ended: Counter<u64>,
     over_share: Counter<u64>,
     /// Calls that want a place.
-    pub room: RoomMetrics,
+    pub admission: AdmissionMetrics,
 }
 
 impl EntryMetrics {
@@ -56,7 +56,7 @@
             held: meter.u64_counter("trestlerack.entry.requests.held").build(),
             servers_ended: meter.u64_counter("trestlerack.entry.servers.ended").build(),
             over_share: meter.u64_counter("trestlerack.entry.requests.over.share").build(),
-            room: RoomMetrics::start(&meter),
+            admission: AdmissionMetrics::start(&meter),
             registry,
             _meters: meters,
         })
--- a/crates/trestlerackd/src/entry/node.rs
+++ b/crates/trestlerackd/src/entry/node.rs
@@ -1,6 +1,6 @@
 //! The state that an entry node shares between its tasks.
 
-use super::admission::RoomDesk;
+use super::admission::AdmissionControl;
 use super::callers::KeyRefresh;
 use super::duties::UsageBook;
 use super::job_driver::JobDriver;
@@ -95,7 +95,7 @@
     /// Tells that peers may be to be told of servers.
     pub has_server_notes: Notify,
     /// Calls that wait for a place of a service.
-    pub room: RoomDesk,
+    pub admission: AdmissionControl,
     /// Requests under which servers ended.
     pub suspects: SuspectDesk,
     /// Shares of customers in services that are short.
@@ -166,7 +166,7 @@
             board: Mutex::new(ServerBoard::new(BoardSettings::default())),
             route_times: Mutex::default(),
             has_server_notes: Notify::new(),
-            room: RoomDesk::new(),
+            admission: AdmissionControl::new(),
             suspects: SuspectDesk::new(&settings),
             shares: ShareDesk::new(now, settings.name.clone()),
             has_registry: AtomicBool::new(false),
--- a/crates/trestlerackd/src/entry/plain.rs
+++ b/crates/trestlerackd/src/entry/plain.rs
@@ -1,8 +1,8 @@
 //! Requests that are passed on to a backend server of their route's service.
 
-use super::admission::{self, RoomCall};
+use super::admission::{self, ServiceCall};
 use super::attempt::WholeAnswer;
-use super::front::{ClientRequest, ReplyBody, full_reply};
+use super::client_requests::{ClientRequest, ReplyBody, full_body};
 use super::node::EntryNode;
 use super::resource_limits::ResponseReservation;
 use super::server_ticket::ServerTicket;
@@ -76,7 +76,7 @@
     let deadline = node.now() + limit;
     let mut trail = RequestTrail::new(node, &request, &route.name);
     if engine_memory::is_too_large(node, route, &request) {
-        let reply = platform::not_run_reply(request.head.request_id.as_ref(), TOO_LARGE_RETURN).map(full_reply);
+        let reply = platform::not_run_reply(request.head.request_id.as_ref(), TOO_LARGE_RETURN).map(full_body);
         trail.answered(reply.status());
         return reply;
     }
@@ -116,7 +116,7 @@
 }
 
 fn whole_reply(answer: WholeAnswer) -> Response<ReplyBody> {
-    let mut reply = Response::new(full_reply(answer.body));
+    let mut reply = Response::new(full_body(answer.body));
     *reply.status_mut() = answer.status;
     copy_headers(&answer.headers, reply.headers_mut());
     reply.extensions_mut().insert(ResponseReservation::new(answer.held));
@@ -142,7 +142,7 @@
         Shortfall::MayHaveRun => platform::plain_reply(StatusCode::BAD_GATEWAY, id, ""),
         Shortfall::TimedOut => platform::plain_reply(StatusCode::GATEWAY_TIMEOUT, id, ""),
     };
-    reply.map(full_reply)
+    reply.map(full_body)
 }
 
 /// Returns how long a server gets to answer a repeatable request: what is usual on its route, or longer
@@ -188,11 +188,11 @@
     request: &'a ClientRequest,
     arrived: Timestamp,
     deadline: Timestamp,
-) -> Option<RoomCall<'a>> {
+) -> Option<ServiceCall<'a>> {
     let id = request.id();
     let service = route.service_for(id)?;
     let customer = request.caller.customer();
-    Some(RoomCall { id, service, route, customer, kind: CallKind::Client, arrived, deadline })
+    Some(ServiceCall { id, service, route, customer, kind: CallKind::Client, arrived, deadline })
 }
 
 /// Returns whether a client has got a part of its stream, which is to be finished.
@@ -204,20 +204,20 @@
 /// not wait for one more place, since another call can use it first; a stream that has begun does.
 async fn find_place(
     node: &Arc<EntryNode>,
-    call: &RoomCall<'_>,
+    call: &ServiceCall<'_>,
     trail: &RequestTrail,
     pick: impl Fn(ServerRoom) -> Option<ServerTicket>,
 ) -> Result<ServerTicket, Option<Duration>> {
     if trail.tried().is_empty() {
-        admission::note_call(node, call);
+        admission::record_call(node, call);
     }
     // What ran nowhere yet waits for its place like any other call.
     if trail.runs() == 0 || goes_on(call.route, trail) {
-        return admission::enter(node, call, pick).await;
+        return admission::acquire_slot(node, call, pick).await;
     }
     match pick(ServerRoom::Place) {
         Some(ticket) => Ok(ticket),
-        None if admission::may_try_again(node, call, AttemptReason::Retry) => pick(ServerRoom::Any).ok_or(None),
+        None if admission::try_spend_attempt(node, call, AttemptReason::Retry) => pick(ServerRoom::Any).ok_or(None),
         None => Err(None),
     }
 }
@@ -236,7 +236,7 @@
 /// refused early, so that its client can come again in time.
 async fn search_server(
     node: &EntryNode,
-    call: &RoomCall<'_>,
+    call: &ServiceCall<'_>,
     pick: impl Fn(ServerRoom) -> Option<ServerTicket>,
 ) -> Option<ServerTicket> {
     let search = Duration::from_millis(call.route.target_latency_ms).mul_f64(SEARCH_SHARE);
@@ -280,7 +280,7 @@
         is_repeatable,
         ..ServerNeed::default()
     };
-    engine_memory::log_left(node, &id, &need);
+    engine_memory::log_full_engines(node, &id, &need);
     let entry = suspects::choose_apart(node, fingerprint, &need)?;
     let config = node.routing().map_or(0, |routing| routing.version);
     let about: [(&str, &dyn std::fmt::Display); 3] =
--- a/crates/trestlerackd/src/entry/readiness.rs
+++ b/crates/trestlerackd/src/entry/readiness.rs
@@ -1,6 +1,6 @@
 //! Tells the platform whether clients may be sent here.
 
-use super::front::own_reply;
+use super::client_requests::empty_reply;
 use super::node::EntryNode;
 use hyper::body::Incoming;
 use hyper::service::service_fn;
@@ -24,7 +24,7 @@
                     (true, true) => StatusCode::OK,
                     (true, false) => StatusCode::SERVICE_UNAVAILABLE,
                 };
-                async move { Ok::<_, Infallible>(own_reply(status, None)) }
+                async move { Ok::<_, Infallible>(empty_reply(status, None)) }
             });
             // The platform asks again in a second if its connection breaks.
             let _ = hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
--- a/crates/trestlerackd/src/entry/resource_limits/body_reader.rs
+++ b/crates/trestlerackd/src/entry/resource_limits/body_reader.rs
@@ -28,7 +28,7 @@
 
 /// Why a request body could not be read.
 #[derive(Debug)]
-pub enum BodyError {
+pub enum RequestBodyError {
     /// The body is longer than allowed.
     TooLarge,
     /// No memory is available for the body now.
@@ -56,7 +56,7 @@
     mut body: Incoming,
     max_bytes: usize,
     limit: Duration,
-) -> Result<(Bytes, MemoryReservation), BodyError> {
+) -> Result<(Bytes, MemoryReservation), RequestBodyError> {
     let limiter = &*node.resource_limits;
     let reservation = limiter.memory.reserve(MemoryPurpose::Bodies, 0);
     if body.is_end_stream() {
@@ -82,22 +82,22 @@
 
 impl BodyReader<'_> {
     /// Reserves memory for the declared length before anything is read.
-    fn reserve_declared(&mut self, now: Timestamp, declared: Option<usize>) -> Result<(), BodyError> {
+    fn reserve_declared(&mut self, now: Timestamp, declared: Option<usize>) -> Result<(), RequestBodyError> {
         if declared.is_some_and(|length| length > self.max_bytes) {
-            return Err(BodyError::TooLarge);
+            return Err(RequestBodyError::TooLarge);
         }
         self.reserve(now, declared.unwrap_or(GROWTH_BYTES))
     }
 
     /// Reserves `more` bytes and grows the buffer by them. Pages of the buffer that were never written to take
     /// no physical memory.
-    fn reserve(&mut self, now: Timestamp, more: usize) -> Result<(), BodyError> {
+    fn reserve(&mut self, now: Timestamp, more: usize) -> Result<(), RequestBodyError> {
         let length = self.reservation.bytes().saturating_add(more);
         let result = self.reservation.try_grow(more);
         self.refuse_large_upload(now);
         result.map_err(|error| match error {
-            ReserveError::TooLarge => BodyError::TooLarge,
-            ReserveError::Exhausted => BodyError::MemoryExhausted,
+            ReserveError::TooLarge => RequestBodyError::TooLarge,
+            ReserveError::Exhausted => RequestBodyError::MemoryExhausted,
         })?;
         self.bytes.reserve(length - self.bytes.len());
         if self.limiter.is_bounded() && length > SMALL_BYTES {
@@ -114,14 +114,14 @@
         }
     }
 
-    async fn read(&mut self, node: &EntryNode, body: &mut Incoming) -> Result<(), BodyError> {
+    async fn read(&mut self, node: &EntryNode, body: &mut Incoming) -> Result<(), RequestBodyError> {
         while let Some(frame) = self.next_frame(node, body).await? {
-            let frame = frame.map_err(|error| BodyError::Broken(error.to_string()))?;
+            let frame = frame.map_err(|error| RequestBodyError::Broken(error.to_string()))?;
             let Ok(data) = frame.into_data() else { continue };
             let now = node.now();
             let length = self.bytes.len() + data.len();
             if length > self.max_bytes {
-                return Err(BodyError::TooLarge);
+                return Err(RequestBodyError::TooLarge);
             }
             if length > self.reservation.bytes() {
                 self.reserve(now, GROWTH_BYTES.max(data.len()))?;
@@ -140,7 +140,7 @@
         &self,
         node: &EntryNode,
         body: &mut Incoming,
-    ) -> Result<Option<Result<hyper::body::Frame<Bytes>, hyper::Error>>, BodyError> {
+    ) -> Result<Option<Result<hyper::body::Frame<Bytes>, hyper::Error>>, RequestBodyError> {
         if body.is_end_stream() {
             return Ok(None);
         }
@@ -161,15 +161,15 @@
         tokio::select! {
             biased;
             frame = clock::timeout(left, body.frame()) => if let Ok(frame) = frame { return Ok(frame) },
-            () = refused => return Err(BodyError::MemoryExhausted),
+            () = refused => return Err(RequestBodyError::MemoryExhausted),
         }
-        clock::timeout(SOCKET_DRAIN_TIMEOUT, body.frame()).await.map_err(|_| BodyError::TooSlow)
+        clock::timeout(SOCKET_DRAIN_TIMEOUT, body.frame()).await.map_err(|_| RequestBodyError::TooSlow)
     }
 
-    fn log_error(&self, now: Timestamp, id: &Name, declared: Option<usize>, error: &BodyError) {
+    fn log_error(&self, now: Timestamp, id: &Name, declared: Option<usize>, error: &RequestBodyError) {
         let (received, reserved) = (self.bytes.len(), self.reservation.bytes());
         match error {
-            BodyError::MemoryExhausted if received == 0 => {
+            RequestBodyError::MemoryExhausted if received == 0 => {
                 let bytes = declared.unwrap_or(GROWTH_BYTES);
                 let (total, max_total) = (self.limiter.memory.total(), self.limiter.memory.limits().total);
                 self.limiter.record(
@@ -178,15 +178,15 @@
                     &[("request", id), ("bytes", &bytes), ("held", &total), ("bound", &max_total)],
                 );
             }
-            BodyError::MemoryExhausted | BodyError::TooSlow => {
-                let why = if matches!(error, BodyError::TooSlow) { "too slow" } else { "no memory left" };
+            RequestBodyError::MemoryExhausted | RequestBodyError::TooSlow => {
+                let why = if matches!(error, RequestBodyError::TooSlow) { "too slow" } else { "no memory left" };
                 self.limiter.record(
                     now,
                     LimitDecision::UploadAborted,
                     &[("request", id), ("why", &why), ("received", &received), ("held", &reserved)],
                 );
             }
-            BodyError::TooLarge | BodyError::Broken(_) => {}
+            RequestBodyError::TooLarge | RequestBodyError::Broken(_) => {}
         }
     }
 }
--- a/crates/trestlerackd/src/entry/resource_limits/mod.rs
+++ b/crates/trestlerackd/src/entry/resource_limits/mod.rs
@@ -12,7 +12,7 @@
 mod uploads;
 mod watched_stream;
 
-pub use body_reader::{BodyError, read_body};
+pub use body_reader::{RequestBodyError, read_body};
 pub use connection_table::{ClientConnection, ConnectionAdmission, ConnectionGuard};
 pub use reply_body::{ResponseReservation, TrackedBody};
 pub use response_reader::read_response;
--- a/crates/trestlerackd/src/entry/resource_limits/reply_body.rs
+++ b/crates/trestlerackd/src/entry/resource_limits/reply_body.rs
@@ -1,7 +1,7 @@
 //! The body of a reply to a client, whose memory stays reserved until the connection has taken it.
 
 use super::ClientConnection;
-use crate::entry::front::{BrokenReply, ReplyBody};
+use crate::entry::client_requests::{ReplyBody, ReplyError};
 use crate::entry::node::EntryNode;
 use bytes::Bytes;
 use http::Response;
@@ -75,12 +75,12 @@
 
 impl Body for TrackedBody {
     type Data = Bytes;
-    type Error = BrokenReply;
+    type Error = ReplyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenReply>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ReplyError>>> {
         if !self.rest.is_empty() {
             return Poll::Ready(Some(Ok(self.next_piece())));
         }
--- a/crates/trestlerackd/src/entry/score_calls.rs
+++ b/crates/trestlerackd/src/entry/score_calls.rs
@@ -1,6 +1,6 @@
 //! Calls to scoring services, which may be repeated.
 
-use super::admission::{self, RoomCall};
+use super::admission::{self, ServiceCall};
 use super::attempt::{self, AttemptError};
 use super::node::EntryNode;
 use super::server_answers::{self, AnswerWatch};
@@ -89,7 +89,7 @@
     let (kind, arrived) = (CallKind::Score, node.now());
     let directory = routing.customers.as_ref();
     let customer = customer.and_then(|name| directory?.get(name));
-    let room_call = RoomCall { id: &call.id, service, route, customer, kind, arrived, deadline };
+    let room_call = ServiceCall { id: &call.id, service, route, customer, kind, arrived, deadline };
     let is_by_room = admission::is_active(node, service);
     let mut attempts = FuturesUnordered::new();
     let mut starts: Vec<AnswerWatch> = Vec::new();
@@ -97,7 +97,7 @@
     let mut early_at = None;
     let (mut is_trial, mut is_early) = (false, false);
     if is_by_room {
-        admission::note_call(node, &room_call);
+        admission::record_call(node, &room_call);
     }
     loop {
         if attempts.is_empty()
@@ -118,13 +118,13 @@
         if let Some(ticket) = ticket {
             tried.push(ticket.server.instance.clone());
             starts.push(AnswerWatch::start(node));
-            is_trial = hedging::is_trial(node, &ticket.server.instance);
+            is_trial = hedging::is_probe(node, &ticket.server.instance);
             attempts.push(attempt_score(node, call, route, ticket, deadline, rank));
         }
         if is_due {
             is_early = false;
             next_at = node.now() + patience(node, service, route);
-            early_at = hedging::after(node, route, service).map(|after| node.now() + after);
+            early_at = hedging::hedge_delay(node, route, service).map(|after| node.now() + after);
         }
         let wake_at = early_at.map_or(next_at, |early| next_at.min(early));
         let answer = match attempts.len() {
@@ -144,7 +144,7 @@
             Ok(Some((_, ScoreEnd::NoAnswer))) => next_at = node.now(),
             Err(_) => {
                 is_early = early_at.take_if(|early| *early < next_at).is_some();
-                if is_early && hedging::has_place(node, service) {
+                if is_early && hedging::has_free_slot(node, service) {
                     next_at = node.now();
                 }
             }
@@ -163,16 +163,16 @@
 /// which is paid for unless it `is_free`.
 async fn find_place(
     node: &Arc<EntryNode>,
-    call: &RoomCall<'_>,
+    call: &ServiceCall<'_>,
     is_first: bool,
     is_free: bool,
     pick: impl Fn(ServerRoom) -> Option<ServerTicket>,
 ) -> Option<ServerTicket> {
     if is_first {
-        return admission::enter(node, call, pick).await.ok();
+        return admission::acquire_slot(node, call, pick).await.ok();
     }
     let ticket = pick(ServerRoom::Place)?;
-    (is_free || admission::may_try_again(node, call, AttemptReason::Hedge)).then_some(ticket)
+    (is_free || admission::try_spend_attempt(node, call, AttemptReason::Hedge)).then_some(ticket)
 }
 
 fn pick_server(
--- a/crates/trestlerackd/src/entry/server_ticket.rs
+++ b/crates/trestlerackd/src/entry/server_ticket.rs
@@ -45,7 +45,7 @@
     /// Records that the request is on its way to the server.
     pub fn sent(&self) {
         self.is_open.store(true, Ordering::Relaxed);
-        admission::note_attempt(&self.node, &self.server.service);
+        admission::record_attempt(&self.node, &self.server.service);
     }
 
     /// Records that the outcome is known: an answer, a refusal or a broken connection.
@@ -83,6 +83,6 @@
         if let Some(run) = self.run {
             self.node.suspects.book().end_run(&self.server.instance, run);
         }
-        admission::place_freed(&self.node, &self.server.service);
+        admission::slot_freed(&self.node, &self.server.service);
     }
 }
--- a/crates/trestlerackd/src/entry/shares/mod.rs
+++ b/crates/trestlerackd/src/entry/shares/mod.rs
@@ -8,7 +8,7 @@
 
 pub use desk::ShareDesk;
 
-use super::front::ClientRequest;
+use super::client_requests::ClientRequest;
 use super::node::EntryNode;
 use crate::process::logs;
 use std::sync::Arc;
--- a/crates/trestlerackd/src/entry/status.rs
+++ b/crates/trestlerackd/src/entry/status.rs
@@ -114,7 +114,7 @@
         DUTIES_PATH => serde_json::to_vec(&duties(node)),
         SUSPECTS_PATH => serde_json::to_vec(&suspects(node)),
         SERVERS_PATH => serde_json::to_vec(&servers(node)),
-        ROOM_PATH => serde_json::to_vec(&admission::lines(node)),
+        ROOM_PATH => serde_json::to_vec(&admission::status(node)),
         LEVEL_PATH => serde_json::to_vec(&[level(node)]),
         MEMORY_PATH => serde_json::to_vec(&resource_limits::memory_status(&node.resource_limits)),
         _ => return None,
--- a/crates/trestlerackd/src/entry/streams.rs
+++ b/crates/trestlerackd/src/entry/streams.rs
@@ -1,7 +1,7 @@
-//! Passes event streams on as they arrive, and resumes those that may be resumed.
+//! Relays event streams to clients as they arrive, and resumes resumable ones at another server.
 
 use super::attempt::{self, OpenAnswer};
-use super::front::{BrokenReply, ClientRequest, ReplyBody};
+use super::client_requests::{ClientRequest, ReplyBody, ReplyError};
 use super::node::EntryNode;
 use super::plain::{self, Shortfall};
 use super::trail::RequestTrail;
@@ -19,11 +19,11 @@
 use trestlerack::version::RequestRoute;
 use trestlerack_platform::EventDecoder;
 
-/// Longest pause between two events before a stream is resumed elsewhere; clients leave after two
+/// Maximum gap between two events before a stream is resumed at another server. Clients disconnect after two
 /// seconds at the earliest.
-const EVENT_TIMEOUT: Duration = Duration::from_millis(1_500);
+const EVENT_GAP_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A stream on its way to a client.
+/// An event stream that is relayed from a server to a client.
 struct StreamRelay {
     node: Arc<EntryNode>,
     route: RequestRoute,
@@ -33,11 +33,11 @@
     open: OpenAnswer,
     decoder: EventDecoder,
     last_event: Option<u64>,
-    /// What the stream costs; its events are read only as the client reads them.
-    _held: MemoryReservation,
+    /// Memory of the stream. Its size is fixed, since events are read only as the client reads them.
+    _reservation: MemoryReservation,
 }
 
-/// Serves a request for a stream: the reply has the head of the first server that answers.
+/// Serves a request for a stream. The reply has the status and headers of the first server that responds.
 pub async fn serve(
     node: &Arc<EntryNode>,
     route: &RequestRoute,
@@ -46,7 +46,7 @@
     mut trail: RequestTrail,
 ) -> Response<ReplyBody> {
     let resume_after = request.head.resume_after;
-    let Ok(held) = node.resource_limits.memory.try_reserve(MemoryPurpose::Streams, STREAM_BYTES) else {
+    let Ok(reservation) = node.resource_limits.memory.try_reserve(MemoryPurpose::Streams, STREAM_BYTES) else {
         let reply = plain::failure_reply(&request, &Shortfall::NotRun, true);
         trail.answered(reply.status());
         return reply;
@@ -70,12 +70,12 @@
         open,
         decoder: EventDecoder::default(),
         last_event: resume_after,
-        _held: held,
+        _reservation: reservation,
     };
     relay.into_reply()
 }
 
-/// Opens a stream after the last event that is known, at servers that were not tried yet.
+/// Opens a stream after the event `resume_after`, at servers that were not tried yet.
 async fn open(
     node: &Arc<EntryNode>,
     route: &RequestRoute,
@@ -107,7 +107,7 @@
         let opening = attempt::open_answer(node, ticket, engine_request, !route.resumable);
         match clock::timeout(left, opening).await {
             Ok(Ok(answer)) => {
-                // A generation begins with its first event, with which the head comes.
+                // The response headers arrive with the first event, so the generation has started.
                 trail.begins();
                 trail.add_run();
                 return Ok(answer);
@@ -160,28 +160,28 @@
         }
     }
 
-    /// Returns the next bytes for the client, or `None` at the stream's own end.
-    async fn next(&mut self) -> Result<Option<Bytes>, BrokenReply> {
+    /// Returns the next bytes for the client, or `None` at the regular end of the stream.
+    async fn next(&mut self) -> Result<Option<Bytes>, ReplyError> {
         loop {
-            let why = match self.read_frame().await {
+            let error = match self.read_frame().await {
                 Ok(Some(bytes)) if bytes.is_empty() => continue,
                 Ok(Some(bytes)) => return Ok(Some(bytes)),
                 Ok(None) if self.decoder.is_between_events() => return Ok(None),
-                Ok(None) => BrokenReply::from("the stream ended within an event"),
+                Ok(None) => ReplyError::from("stream ended in the middle of an event"),
                 Err(error) => error,
             };
-            if why.is::<hyper::Error>() {
+            if error.is::<hyper::Error>() {
                 let id = self.request.id();
                 server_end::connection_broke(&self.node, &self.open.ticket, id).await;
             }
-            self.resume(why).await?;
+            self.resume(error).await?;
         }
     }
 
-    async fn read_frame(&mut self) -> Result<Option<Bytes>, BrokenReply> {
+    async fn read_frame(&mut self) -> Result<Option<Bytes>, ReplyError> {
         let can_resume = self.route.resumable && self.open.status.is_success();
         let frame = if can_resume {
-            clock::timeout(EVENT_TIMEOUT, self.open.body.frame()).await?
+            clock::timeout(EVENT_GAP_TIMEOUT, self.open.body.frame()).await?
         } else {
             self.open.body.frame().await
         };
@@ -190,26 +190,26 @@
         if !can_resume {
             return Ok(Some(bytes));
         }
-        // Only whole events go on, since the next server begins with a whole one.
+        // Only complete events are relayed, since the next server starts with a complete one.
         let (raw, events) = self.decoder.feed_raw(&bytes)?;
         for event in events {
             let follows = self.last_event.is_none_or(|last| event.number == last + 1);
             if !follows {
-                return Err(format!("event {} does not follow", event.number).into());
+                return Err(format!("event {} is out of sequence", event.number).into());
             }
             self.last_event = Some(event.number);
         }
         Ok(Some(raw))
     }
 
-    /// Goes on at another server after the last whole event, if the route allows it.
-    async fn resume(&mut self, why: BrokenReply) -> Result<(), BrokenReply> {
+    /// Resumes the stream at another server after the last complete event, if the route allows it.
+    async fn resume(&mut self, error: ReplyError) -> Result<(), ReplyError> {
         let instance = self.open.ticket.server.instance.clone();
         self.node.board.lock().unwrap().failed(self.node.now(), &instance);
-        self.trail.attempt_failed(&instance, &why);
+        self.trail.attempt_failed(&instance, &error);
         let is_repeated = suspects::is_repeated(&self.node, self.open.ticket.fingerprint);
         if !self.route.resumable || !self.open.status.is_success() || is_repeated {
-            return Err(why);
+            return Err(error);
         }
         let opened =
             open(&self.node, &self.route, &self.request, self.deadline, self.last_event, &mut self.trail).await;
@@ -219,7 +219,7 @@
                 self.decoder = EventDecoder::default();
                 Ok(())
             }
-            Ok(_) | Err(_) => Err(why),
+            Ok(_) | Err(_) => Err(error),
         }
     }
 }
--- a/crates/trestlerackd/src/entry/trail.rs
+++ b/crates/trestlerackd/src/entry/trail.rs
@@ -1,6 +1,6 @@
 //! What was done for a request so far, which its log line tells.
 
-use super::front::ClientRequest;
+use super::client_requests::ClientRequest;
 use super::node::EntryNode;
 use crate::process::logs;
 use http::StatusCode;
--- a/crates/trestlerackd/tests/entry/crashes.rs
+++ b/crates/trestlerackd/tests/entry/crashes.rs
@@ -87,7 +87,7 @@
 }
 
 /// A refusal that asks for more time than a busy service takes is one of held content.
-fn is_held(answer: &Answer) -> bool {
+fn is_held(answer: &HttpResponse) -> bool {
     let retry_after = answer.headers.get("retry-after").and_then(|value| value.parse::<f64>().ok());
     answer.status == 503 && retry_after.is_some_and(|seconds| seconds > 10.0)
 }
--- a/crates/trestlerackd/tests/entry/held.rs
+++ b/crates/trestlerackd/tests/entry/held.rs
@@ -1,4 +1,4 @@
-//! Slow senders, slow readers and floods of connections at a daemon whose VM is small.
+//! Slow uploads, slow downloads and floods of connections at a daemon on a small VM.
 
 use super::support::*;
 use serde_json::{Value, json};
@@ -10,14 +10,14 @@
 /// Memory of the smallest VMs, in megabytes.
 const MEMORY_MB: usize = 120;
 
-/// Most of it that the process may have resident at any time.
-const MOST_RESIDENT: usize = MEMORY_MB * 1_000_000 / 10 * 8;
+/// Maximum resident memory of the process at any time, in bytes: eight tenths of the memory of the VM.
+const MAX_RESIDENT_BYTES: usize = MEMORY_MB * 1_000_000 / 10 * 8;
 
-/// Time within which an innocent call has to be answered: the objective of its route.
-const OBJECTIVE: Duration = Duration::from_millis(150);
+/// Time limit for the response to a normal call, which is the latency objective of its route.
+const LATENCY_OBJECTIVE: Duration = Duration::from_millis(150);
 
-/// Bytes of a large body.
-const LARGE: usize = 1_000_000;
+/// Size of a large body, in bytes.
+const LARGE_BYTES: usize = 1_000_000;
 
 fn start(platform: &Platform, more: Value) -> EntryDaemon {
     let settings = DaemonSettings { store: platform.store.address.to_string(), more, ..DaemonSettings::default() };
@@ -30,18 +30,18 @@
     (daemon, metrics)
 }
 
-/// Connects with a small buffer for what comes, so that what is not read stays with the sender.
-fn connect_narrow(client: &str) -> TcpStream {
-    const RECEIVED: usize = 16 * 1024;
+/// Connects with a small receive buffer, so that unread bytes of a response stay at the daemon.
+fn connect_with_small_buffer(client: &str) -> TcpStream {
+    const RECEIVE_BUFFER_BYTES: usize = 16 * 1024;
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-    socket.set_recv_buffer_size(RECEIVED).unwrap();
+    socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES).unwrap();
     let address: std::net::SocketAddr = client.parse().unwrap();
     socket.connect(&address.into()).unwrap();
     socket.into()
 }
 
-/// Begins a request and sends `sent` of its `length` bytes.
-fn begin_body(client: &str, id: &str, deadline_ms: u64, length: usize, sent: usize) -> Option<TcpStream> {
+/// Sends the headers of a request and the first `sent` of its `length` body bytes.
+fn start_upload(client: &str, id: &str, deadline_ms: u64, length: usize, sent: usize) -> Option<TcpStream> {
     let mut stream = TcpStream::connect(client).ok()?;
     let head = format!(
         "POST /safe/x HTTP/1.1\r\nhost: h.example\r\nrequest-id: {id}\r\ndeadline-ms: {deadline_ms}\r\n\
@@ -54,8 +54,9 @@
     Some(stream)
 }
 
-/// Returns the status that a stream was answered with by now; 0 if it was closed without one.
-fn status_by_now(stream: &mut TcpStream) -> Option<u16> {
+/// Returns the status received so far without waiting: `None` if there is none yet, 0 if the stream was closed
+/// without one.
+fn current_status(stream: &mut TcpStream) -> Option<u16> {
     stream.set_nonblocking(true).unwrap();
     let mut bytes = [0; 256];
     match stream.read(&mut bytes) {
@@ -68,34 +69,34 @@
     }
 }
 
-/// What innocent callers saw.
+/// Results of normal calls, which the overload in a test must not affect.
 #[derive(Debug, Default)]
-struct Innocents {
+struct NormalCalls {
     sent: usize,
     in_time: usize,
-    /// The others: when each was sent after the first, what it was answered with, and how long it took.
+    /// Calls that failed or were late: the time since the first call, the status, and the latency.
     late: Vec<(Duration, Option<u16>, Duration)>,
     started: Option<Instant>,
 }
 
-impl Innocents {
-    /// Sends a small call on a connection of its own.
+impl NormalCalls {
+    /// Sends a small request on its own connection.
     fn call(&mut self, daemon: &EntryDaemon) {
         self.sent += 1;
         let (id, started) = (format!("innocent-{}", self.sent), Instant::now());
         self.started.get_or_insert(started);
-        let answer = call(&daemon.client, "POST", "/safe/x", &[("request-id", &id)], "small");
+        let response = call(&daemon.client, "POST", "/safe/x", &[("request-id", &id)], "small");
         let took = started.elapsed();
-        let is_served = answer.as_ref().is_some_and(|answer| answer.status == 200 && answer.body == "small");
-        if is_served && took <= OBJECTIVE {
+        let is_served = response.as_ref().is_some_and(|response| response.status == 200 && response.body == "small");
+        if is_served && took <= LATENCY_OBJECTIVE {
             self.in_time += 1;
         } else {
             let sent_at = started - self.started.unwrap_or(started);
-            self.late.push((sent_at, answer.map(|answer| answer.status), took));
+            self.late.push((sent_at, response.map(|response| response.status), took));
         }
     }
 
-    fn call_for(&mut self, daemon: &EntryDaemon, span: Duration, mut between: impl FnMut()) {
+    fn call_repeatedly(&mut self, daemon: &EntryDaemon, span: Duration, mut between: impl FnMut()) {
         let until = Instant::now() + span;
         while Instant::now() < until {
             self.call(daemon);
@@ -111,7 +112,7 @@
 
 fn check_resident(daemon: &EntryDaemon) {
     let (now, most) = daemon.resident_bytes();
-    assert!(most <= MOST_RESIDENT, "{most} bytes were resident, {now} are");
+    assert!(most <= MAX_RESIDENT_BYTES, "up to {most} bytes were resident, {now} are now");
 }
 
 fn memory(metrics: &str) -> Value {
@@ -122,69 +123,72 @@
     call(address, "GET", path, &[], "").unwrap().body
 }
 
-fn held_for(metrics: &str, purpose: &str) -> u64 {
+fn reserved_bytes(metrics: &str, purpose: &str) -> u64 {
     let lines = memory(metrics);
     let line = lines.as_array().unwrap().iter().find(|line| line["kind"] == "memory" && line["name"] == purpose);
     line.unwrap()["used"].as_u64().unwrap()
 }
 
-/// Each sender of a byte a second has its answer soon, and takes no memory from others meanwhile.
+/// Guards against uploads of one byte per second that occupy memory for as long as their deadline allows.
+/// Each is refused soon, and normal calls are served in the meantime.
 #[test]
-fn senders_of_a_byte_a_second_are_ended_and_keep_nobody_out() {
+fn uploads_of_one_byte_per_second_are_refused_and_delay_no_normal_call() {
     let platform = Platform::start();
     let (daemon, _) = start_small(&platform);
     let ids = 0..500;
-    let mut senders: Vec<TcpStream> =
-        ids.filter_map(|number| begin_body(&daemon.client, &format!("slow-{number}"), 60_000, LARGE, 1)).collect();
-    assert_eq!(senders.len(), 500);
-    let mut innocents = Innocents::default();
+    let mut uploads: Vec<TcpStream> = ids
+        .filter_map(|number| start_upload(&daemon.client, &format!("slow-{number}"), 60_000, LARGE_BYTES, 1))
+        .collect();
+    assert_eq!(uploads.len(), 500);
+    let mut normal_calls = NormalCalls::default();
     let mut sent_at = Instant::now();
-    innocents.call_for(&daemon, Duration::from_secs(4), || {
+    normal_calls.call_repeatedly(&daemon, Duration::from_secs(4), || {
         if sent_at.elapsed() >= Duration::from_secs(1) {
             sent_at = Instant::now();
-            // Those that were ended take no more.
-            senders.iter_mut().for_each(|sender| drop(sender.write(b"x")));
+            // Uploads that were refused accept no more bytes.
+            uploads.iter_mut().for_each(|upload| drop(upload.write(b"x")));
         }
     });
     check_resident(&daemon);
-    let statuses: Vec<Option<u16>> = senders.iter_mut().map(status_by_now).collect();
+    let statuses: Vec<Option<u16>> = uploads.iter_mut().map(current_status).collect();
     let is_refused = |status: &&Option<u16>| matches!(status, Some(408 | 503));
     assert_eq!(statuses.iter().filter(is_refused).count(), 500, "{statuses:?}");
-    innocents.check();
+    normal_calls.check();
     assert!(platform.plain.runs.lock().unwrap().iter().all(|id| id.starts_with("innocent")));
 }
 
-/// Senders that stall in the middle of their bodies are ended at their own deadlines.
+/// Guards against uploads that stall in the middle of the body and keep their memory: each ends at its own
+/// deadline.
 #[test]
-fn bodies_that_stall_are_ended_at_their_deadline_and_bounded_until_then() {
+fn stalled_uploads_end_at_their_deadline_and_use_bounded_memory() {
     let platform = Platform::start();
     let (daemon, metrics) = start_small(&platform);
-    let mut senders: Vec<TcpStream> = (0..400)
-        .filter_map(|number| begin_body(&daemon.client, &format!("slow-{number}"), 2_000, 900_000, 450_000))
+    let mut uploads: Vec<TcpStream> = (0..400)
+        .filter_map(|number| start_upload(&daemon.client, &format!("slow-{number}"), 2_000, 900_000, 450_000))
         .collect();
-    let mut innocents = Innocents::default();
-    innocents.call_for(&daemon, Duration::from_secs(3), || {});
+    let mut normal_calls = NormalCalls::default();
+    normal_calls.call_repeatedly(&daemon, Duration::from_secs(3), || {});
     check_resident(&daemon);
-    innocents.check();
-    assert_eq!(held_for(&metrics, "bodies"), 0);
-    let left = senders.iter_mut().filter_map(|sender| status_by_now(sender).is_none().then_some(())).count();
-    assert_eq!(left, 0, "senders that are still held");
+    normal_calls.check();
+    assert_eq!(reserved_bytes(&metrics, "bodies"), 0);
+    let left = uploads.iter_mut().filter_map(|upload| current_status(upload).is_none().then_some(())).count();
+    assert_eq!(left, 0, "uploads that did not end");
 }
 
-/// Where the settings bound nothing, a sender may be as slow as it was allowed to be before.
+/// Without a memory limit in the settings, the minimum upload rate does not apply.
 #[test]
-fn without_a_bound_a_slow_sender_is_served_as_before() {
+fn without_a_memory_limit_a_slow_upload_is_served() {
     let platform = Platform::start();
     let daemon = start(&platform, json!({}));
-    let mut slow = begin_body(&daemon.client, "slow", 1_000, 100, 50).unwrap();
+    let mut slow = start_upload(&daemon.client, "slow", 1_000, 100, 50).unwrap();
     std::thread::sleep(Duration::from_millis(3_500));
     slow.write_all(&[b'x'; 50]).unwrap();
     slow.set_read_timeout(Some(PATIENCE)).unwrap();
-    assert_eq!(read_answer(&mut BufReader::new(slow)).unwrap().status, 200);
+    assert_eq!(read_response(&mut BufReader::new(slow)).unwrap().status, 200);
 }
 
 #[test]
-fn a_body_without_a_length_is_read_and_bounded_piece_by_piece() {
+fn a_chunked_body_is_read_and_its_size_is_limited() {
     let platform = Platform::start();
     let (daemon, _) = start_small(&platform);
     let chunked = |id: &str, chunks: usize| {
@@ -198,14 +202,14 @@
         (0..chunks).for_each(|_| drop(stream.write_all(chunk.as_bytes())));
         // A body that is refused early may be cut off as it is sent.
         let _ = stream.write_all(b"0\r\n\r\n");
-        read_answer(&mut BufReader::new(stream)).unwrap()
+        read_response(&mut BufReader::new(stream)).unwrap()
     };
-    let answer = chunked("r1", 8);
-    assert_eq!((answer.status, answer.body.len()), (200, 400_000));
+    let response = chunked("r1", 8);
+    assert_eq!((response.status, response.body.len()), (200, 400_000));
     assert_eq!(chunked("r2", 30).status, 413);
 }
 
-/// A body that is refused before it is read is answered, whether or not its sender reads meanwhile.
+/// Guards against a reply that is lost, as the connection is reset when a refused body is left unread.
 #[test]
 fn a_refused_body_is_answered_and_its_connection_serves_the_next_request() {
     let platform = Platform::start();
@@ -214,19 +218,20 @@
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
     send(&mut stream, "POST", "/safe/x", &[("request-id", "r1")], &"x".repeat(1_200_000)).unwrap();
     let mut reader = BufReader::new(stream.try_clone().unwrap());
-    assert_eq!(read_answer(&mut reader).unwrap().status, 413);
+    assert_eq!(read_response(&mut reader).unwrap().status, 413);
     send(&mut stream, "POST", "/safe/x", &[("request-id", "r2")], "next").unwrap();
-    assert_eq!(read_answer(&mut reader).unwrap().body, "next");
+    assert_eq!(read_response(&mut reader).unwrap().body, "next");
 }
 
-/// Readers that stop are bounded; one that reads slowly all the while gets its answer whole.
+/// Guards against clients that stop reading large responses and so exhaust the memory. A client that reads
+/// slowly but steadily still gets its complete response.
 #[test]
 fn readers_that_stop_are_bounded_and_a_slow_one_is_served() {
     let platform = Platform::start();
-    platform.plain.large_bytes.store(LARGE, Ordering::SeqCst);
+    platform.plain.large_bytes.store(LARGE_BYTES, Ordering::SeqCst);
     let (daemon, _) = start_small(&platform);
     let ask = |id: &str| {
-        let mut stream = connect_narrow(&daemon.client);
+        let mut stream = connect_with_small_buffer(&daemon.client);
         send(&mut stream, "POST", "/safe/large", &[("request-id", id)], "").unwrap();
         stream
     };
@@ -234,7 +239,7 @@
     let reading = std::thread::spawn(move || {
         let (mut slow, mut text, mut piece) = (slow, Vec::new(), vec![0; 32 * 1024]);
         slow.set_read_timeout(Some(PATIENCE)).unwrap();
-        while text.len() < LARGE {
+        while text.len() < LARGE_BYTES {
             std::thread::sleep(Duration::from_millis(60));
             match slow.read(&mut piece) {
                 Ok(0) | Err(_) => break,
@@ -244,17 +249,17 @@
         text.len()
     });
     let stopped: Vec<TcpStream> = (0..500).map(|number| ask(&format!("stopped-{number}"))).collect();
-    let mut innocents = Innocents::default();
-    innocents.call_for(&daemon, Duration::from_secs(8), || {});
+    let mut normal_calls = NormalCalls::default();
+    normal_calls.call_repeatedly(&daemon, Duration::from_secs(8), || {});
     check_resident(&daemon);
-    innocents.check();
-    assert!(reading.join().unwrap() >= LARGE);
+    normal_calls.check();
+    assert!(reading.join().unwrap() >= LARGE_BYTES);
     drop(stopped);
 }
 
-/// A stream whose client does not read delays no other one.
+/// Guards against a stream that its client does not read and that delays other streams.
 #[test]
-fn streams_of_slow_readers_delay_no_quick_ones() {
+fn streams_that_are_not_read_delay_no_other_streams() {
     let platform = Platform::start();
     platform.engine.pace_ms.store(8, Ordering::SeqCst);
     platform.engine.event_bytes.store(100_000, Ordering::SeqCst);
@@ -263,12 +268,13 @@
         let mut times: Vec<Duration> = Vec::new();
         for number in 0..100 {
             let started = Instant::now();
-            let (_, is_whole) = read_stream_from(&daemon.client, "/streamed/x", &format!("{round}-{number}")).unwrap();
-            assert!(is_whole);
+            let (_, is_complete) =
+                read_stream_from(&daemon.client, "/streamed/x", &format!("{round}-{number}")).unwrap();
+            assert!(is_complete);
             times.push(started.elapsed());
         }
         times.sort();
-        // All but one of a hundred.
+        // The 99th of 100 times in ascending order.
         times[98]
     };
     let alone = read_quickly("alone");
@@ -280,15 +286,15 @@
             stream
         })
         .collect();
-    let beside = read_quickly("beside");
+    let loaded = read_quickly("beside");
     drop(slow);
-    assert!(beside <= alone.mul_f64(1.5), "{alone:?} alone and {beside:?} beside slow readers");
+    assert!(loaded <= alone.mul_f64(1.5), "{alone:?} alone and {loaded:?} beside streams that are not read");
     check_resident(&daemon);
 }
 
-/// While the store is silent, texts wait in memory; nothing accepted is lost.
+/// While the store is unavailable, generated texts wait in memory. No result of an accepted job is lost.
 #[test]
-fn a_store_silent_for_ten_seconds_costs_no_result() {
+fn a_store_outage_of_ten_seconds_loses_no_result() {
     let platform = Platform::start();
     platform.engine.pace_ms.store(300, Ordering::SeqCst);
     platform.engine.event_bytes.store(20_000, Ordering::SeqCst);
@@ -297,23 +303,23 @@
     let daemon = start(&platform, more);
     assert_eq!(submit(&daemon, "job1", 16), 202);
     platform.store.go_down(true);
-    let mut innocents = Innocents::default();
-    innocents.call_for(&daemon, Duration::from_secs(10), || {});
-    assert!(held_for(&metrics, "texts") > 100_000);
+    let mut normal_calls = NormalCalls::default();
+    normal_calls.call_repeatedly(&daemon, Duration::from_secs(10), || {});
+    assert!(reserved_bytes(&metrics, "texts") > 100_000);
     platform.store.go_down(false);
     assert_eq!(read_all(&daemon, "job1", 16).len(), 16);
     check_resident(&daemon);
-    innocents.check();
+    normal_calls.check();
 }
 
-/// A job whose texts are more than may be held is not given up: its items run one after the other.
+/// Guards against giving up a job whose texts exceed the memory limit: its items run one after the other.
 #[test]
-fn a_job_larger_than_the_bound_ends_whole_with_fewer_runs_at_once() {
+fn a_job_larger_than_the_memory_limit_completes_with_fewer_concurrent_runs() {
     let platform = Platform::start();
     platform.engine.pace_ms.store(20, Ordering::SeqCst);
     platform.engine.event_bytes.store(40_000, Ordering::SeqCst);
     let metrics = free_address();
-    // Leaves the least bound that there is, a megabyte.
+    // Results in the smallest possible memory limit, one megabyte.
     let daemon = start(&platform, json!({ "memory_mb": 10, "metrics_listen": metrics }));
     assert_eq!(submit(&daemon, "job1", 16), 202);
     let results = read_all(&daemon, "job1", 16);
@@ -330,25 +336,25 @@
     let more = json!({ "memory_mb": MEMORY_MB, "max_descriptors": 3_075, "metrics_listen": metrics });
     let daemon = start(&platform, more);
     let mut idle = Vec::new();
-    let mut innocents = Innocents::default();
+    let mut normal_calls = NormalCalls::default();
     for _ in 0..80 {
         idle.extend((0..100).filter_map(|_| TcpStream::connect(&daemon.client).ok()));
-        innocents.call(&daemon);
+        normal_calls.call(&daemon);
         std::thread::sleep(Duration::from_millis(50));
     }
-    innocents.call_for(&daemon, Duration::from_secs(2), || {});
+    normal_calls.call_repeatedly(&daemon, Duration::from_secs(2), || {});
     println!("{} connections were opened", idle.len());
     check_resident(&daemon);
-    innocents.check();
+    normal_calls.check();
     let lines = memory(&metrics);
     let clients = lines.as_array().unwrap().iter().find(|line| line["name"] == "clients").unwrap().clone();
     assert!(clients["used"].as_u64() <= clients["bound"].as_u64(), "{clients}");
 }
 
-/// The store and the servers keep their descriptors, whatever clients open. A client for which there is
-/// none is told so.
+/// Guards against clients that use up the descriptors that the store and the servers need. A client beyond the
+/// limit gets a refusal.
 #[test]
-fn busy_connections_of_clients_leave_others_their_descriptors() {
+fn busy_client_connections_leave_descriptors_for_store_and_servers() {
     let platform = Platform::start();
     let metrics = free_address();
     let more = json!({ "memory_mb": MEMORY_MB, "max_descriptors": 424, "metrics_listen": metrics });
@@ -357,27 +363,28 @@
     let of_kind = |name: &str| lines.as_array().unwrap().iter().find(|line| line["name"] == name).unwrap().clone();
     let clients = of_kind("clients")["bound"].as_u64().unwrap();
     let busy: Vec<TcpStream> = (0..clients)
-        .filter_map(|number| begin_body(&daemon.client, &format!("busy-{number}"), 2_900, 4_000, 10))
+        .filter_map(|number| start_upload(&daemon.client, &format!("busy-{number}"), 2_900, 4_000, 10))
         .collect();
-    eventually("all clients' descriptors are taken", || {
+    eventually("all descriptors for clients are in use", || {
         let lines = memory(&metrics);
         lines.as_array().unwrap().iter().any(|line| line["name"] == "clients" && line["used"] == clients)
     });
     std::thread::sleep(Duration::from_millis(100));
-    let answer = call(&daemon.client, "POST", "/safe/x", &[("request-id", "r1")], "x").unwrap();
-    assert_eq!((answer.status, &*answer.headers["request-id"]), (503, "r1"));
-    assert_eq!((&*answer.headers["connection"], &*answer.headers["retry-after"]), ("close", "0.500"));
+    let response = call(&daemon.client, "POST", "/safe/x", &[("request-id", "r1")], "x").unwrap();
+    assert_eq!((response.status, &*response.headers["request-id"]), (503, "r1"));
+    assert_eq!((&*response.headers["connection"], &*response.headers["retry-after"]), ("close", "0.500"));
     assert!(!platform.plain.runs.lock().unwrap().contains(&"r1".to_owned()));
     drop(busy);
     eventually("clients are served again", || {
-        call(&daemon.client, "POST", "/safe/x", &[("request-id", "r2")], "x").is_some_and(|answer| answer.status == 200)
+        call(&daemon.client, "POST", "/safe/x", &[("request-id", "r2")], "x")
+            .is_some_and(|response| response.status == 200)
     });
-    assert_eq!(submit(&daemon, "job1", 4), 202, "the store is reached");
+    assert_eq!(submit(&daemon, "job1", 4), 202, "the store is reachable");
 }
 
-/// What is held, and what gave way for it, is told by the page, the metrics and a bounded log.
+/// The status page, the metrics and a rate-limited log show reserved memory and refusals.
 #[test]
-fn operators_see_what_is_held_and_who_gave_way() {
+fn status_metrics_and_log_show_reserved_memory_and_refusals() {
     let platform = Platform::start();
     let log = std::env::temp_dir().join(format!("held-log-{}.log", std::process::id()));
     let metrics = free_address();
@@ -388,18 +395,19 @@
         ..DaemonSettings::default()
     };
     let daemon = EntryDaemon::start_with("a", &settings);
-    let senders: Vec<TcpStream> =
-        (0..100).filter_map(|number| begin_body(&daemon.client, &format!("slow-{number}"), 1_500, LARGE, 10)).collect();
+    let uploads: Vec<TcpStream> = (0..100)
+        .filter_map(|number| start_upload(&daemon.client, &format!("slow-{number}"), 1_500, LARGE_BYTES, 10))
+        .collect();
     eventually("bodies are refused", || {
         memory(&metrics).as_array().unwrap().iter().any(|line| line["name"] == "body-refused" && line["used"] != 0)
     });
-    assert!(held_for(&metrics, "bodies") >= 10 * LARGE as u64);
+    assert!(reserved_bytes(&metrics, "bodies") >= 10 * LARGE_BYTES as u64);
     let page = call_text(&metrics, "/metrics");
     assert!(page.contains("trestlerack_entry_held_bytes{purpose=\"bodies\"} "), "{page}");
     assert!(page.contains("trestlerack_entry_held_decisions_total{decision=\"body-refused\"} "), "{page}");
     assert!(page.contains("trestlerack_entry_descriptors{kind=\"clients\"} "), "{page}");
-    eventually("the senders are ended", || held_for(&metrics, "bodies") == 0);
-    drop(senders);
+    eventually("the uploads have ended", || reserved_bytes(&metrics, "bodies") == 0);
+    drop(uploads);
     let text = std::fs::read_to_string(&log).unwrap();
     let lines = |event: &str| text.lines().filter(|line| line.contains(event)).count();
     assert!((1..=4).contains(&lines("TR2151")), "{} lines", lines("TR2151"));
@@ -407,21 +415,23 @@
     std::fs::remove_file(&log).unwrap();
 }
 
-/// What the ledger says is what the process grew by, within a tenth.
+/// The total of the reserved memory equals the growth of the process to within a tenth.
 #[test]
-fn the_ledger_tells_what_the_process_grew_by() {
+fn reserved_memory_matches_the_growth_of_the_process() {
     let platform = Platform::start();
     let (daemon, metrics) = start_small(&platform);
-    // Buffers and tables of a first call are there before.
-    Innocents::default().call_for(&daemon, Duration::from_millis(300), || {});
+    // Allocates the buffers and tables of the first calls before the measurement.
+    NormalCalls::default().call_repeatedly(&daemon, Duration::from_millis(300), || {});
     let (before, _) = daemon.resident_bytes();
-    let senders: Vec<TcpStream> = (0..30)
-        .filter_map(|number| begin_body(&daemon.client, &format!("slow-{number}"), 2_500, LARGE, LARGE - 10))
+    let uploads: Vec<TcpStream> = (0..30)
+        .filter_map(|number| {
+            start_upload(&daemon.client, &format!("slow-{number}"), 2_500, LARGE_BYTES, LARGE_BYTES - 10)
+        })
         .collect();
     std::thread::sleep(Duration::from_millis(500));
-    let total = held_for(&metrics, "total") as f64;
+    let total = reserved_bytes(&metrics, "total") as f64;
     let (after, _) = daemon.resident_bytes();
     let grown = (after - before) as f64;
-    drop(senders);
-    assert!((total - grown).abs() <= grown * 0.1, "the ledger says {total} and the process grew by {grown}");
+    drop(uploads);
+    assert!((total - grown).abs() <= grown * 0.1, "{total} bytes are reserved and the process grew by {grown}");
 }
--- a/crates/trestlerackd/tests/entry/soak/clients.rs
+++ b/crates/trestlerackd/tests/entry/soak/clients.rs
@@ -92,7 +92,7 @@
     let sent_at = Instant::now();
     let headers = [("request-id", id.as_str()), ("deadline-ms", "4000")];
     let is_sent = send(writer, "POST", &format!("{path}x"), &headers, &body).is_some();
-    let answer = if is_sent { read_answer(reader) } else { None };
+    let answer = if is_sent { read_response(reader) } else { None };
     if path == "/once/" {
         let status = answer.as_ref().map(|answer| answer.status);
         findings.once.lock().unwrap().push(OnceOutcome { id: id.clone(), status });
--- a/crates/trestlerackd/tests/entry/soak/fatal.rs
+++ b/crates/trestlerackd/tests/entry/soak/fatal.rs
@@ -35,12 +35,12 @@
     format!("{FATAL} {content}")
 }
 
-fn ask(world: &World, node: usize, kind: &str, body: &str) -> Option<Answer> {
+fn ask(world: &World, node: usize, kind: &str, body: &str) -> Option<HttpResponse> {
     let id = world.new_id(kind);
     call(&world.nodes[node].client, "POST", PATH, &[("request-id", &id), ("deadline-ms", "2000")], body)
 }
 
-fn is_held(answer: &Answer) -> bool {
+fn is_held(answer: &HttpResponse) -> bool {
     let wait = answer.headers.get("retry-after").and_then(|value| value.parse::<f64>().ok());
     answer.status == 503 && wait.is_some_and(|seconds| seconds > LONGEST_BUSY_WAIT_S)
 }
--- a/crates/trestlerackd/tests/entry/soak/slow.rs
+++ b/crates/trestlerackd/tests/entry/soak/slow.rs
@@ -32,7 +32,7 @@
         // The node may be down, or cut the sender off.
         let _ = stream.write_all(head.as_bytes());
         let _ = stream.write_all(&vec![b'x'; 450_000]);
-        let answer = read_answer(&mut BufReader::new(stream));
+        let answer = read_response(&mut BufReader::new(stream));
         if let Some(answer) = answer.filter(|answer| !NOT_RUN.contains(&answer.status)) {
             world.violation(format!("{id}, whose body never came whole, got {}", answer.status));
         }
--- a/crates/trestlerackd/tests/entry/support/client.rs
+++ b/crates/trestlerackd/tests/entry/support/client.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client.
+//! A minimal HTTP client.
 
 use super::PATIENCE;
 use super::server::read_headers;
@@ -7,29 +7,29 @@
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 
-/// An answer that a client got.
+/// Response that a client received.
 #[derive(Debug)]
-pub struct Answer {
+pub struct HttpResponse {
     pub status: u16,
     pub headers: BTreeMap<String, String>,
     pub body: String,
 }
 
-impl Answer {
+impl HttpResponse {
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).unwrap()
     }
 }
 
-/// Makes a call on a connection of its own; `None` if no whole answer came.
-pub fn call(address: &str, method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> Option<Answer> {
+/// Makes a call on its own connection. Returns `None` if no complete response arrives.
+pub fn call(address: &str, method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> Option<HttpResponse> {
     let mut stream = TcpStream::connect(address).ok()?;
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
     send(&mut stream, method, path, headers, body)?;
-    read_answer(&mut BufReader::new(stream))
+    read_response(&mut BufReader::new(stream))
 }
 
-/// Sends a request.
+/// Sends a request with a body; the host is `h.example` unless `headers` has one.
 pub fn send(stream: &mut TcpStream, method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> Option<()> {
     let mut text = format!("{method} {path} HTTP/1.1\r\ncontent-length: {}\r\n", body.len());
     if !headers.iter().any(|(name, _)| *name == "host") {
@@ -39,7 +39,7 @@
     stream.write_all(format!("{text}\r\n{body}").as_bytes()).ok()
 }
 
-pub fn read_answer(reader: &mut BufReader<TcpStream>) -> Option<Answer> {
+pub fn read_response(reader: &mut BufReader<TcpStream>) -> Option<HttpResponse> {
     let mut line = String::new();
     reader.read_line(&mut line).ok()?;
     let status = line.split_whitespace().nth(1)?.parse().ok()?;
@@ -47,5 +47,5 @@
     let length = headers.get("content-length").and_then(|value| value.parse().ok()).unwrap_or(0);
     let mut body = vec![0; length];
     reader.read_exact(&mut body).ok()?;
-    Some(Answer { status, headers, body: String::from_utf8(body).ok()? })
+    Some(HttpResponse { status, headers, body: String::from_utf8(body).ok()? })
 }
--- a/crates/trestlerackd/tests/entry/support/mod.rs
+++ b/crates/trestlerackd/tests/entry/support/mod.rs
@@ -9,7 +9,7 @@
 mod server;
 mod store;
 
-pub use client::{Answer, call, read_answer, send};
+pub use client::{HttpResponse, call, read_response, send};
 pub use crashing::{CrashingServers, FATAL};
 pub use daemon::{DaemonSettings, EntryDaemon, STOP_LIMIT, free_address};
 pub use duties::{DutyCall, DutyPlatform};
