--- a/crates/trestlerack/src/process/mod.rs
+++ b/crates/trestlerack/src/process/mod.rs
@@ -1,46 +1,48 @@
 //! State that lives as long as the process: peers, ownership, leases, limits, steps and the spool.
 
 mod admission;
-mod answer_time;
 mod broadcast;
 mod call_rank;
 mod change_feed;
-mod direct_way;
+mod direct_access;
 mod draining;
 mod duty_gate;
-mod engine_fleet;
+
 mod engine_memory;
 mod engine_priority;
 mod entry_settings;
 mod event_pace;
-mod expectation;
+mod expected_latency;
+mod fleet_controller;
 mod follower_choice;
 mod hedging;
 mod job_end_freshness;
 mod job_owner;
+mod latency_estimate;
 mod lease;
 mod limiter;
+mod load_balancer;
 mod load_message;
 mod membership;
 mod node_rows;
 mod outlier;
 mod ownership;
-mod placement;
+
 mod registry;
 mod relay_selector;
 mod resource_limits;
 mod run_move;
 mod run_timeouts;
-mod server_belief;
-mod server_lines;
-mod server_notes;
+mod server_health;
+mod server_observations;
 mod server_pace;
+mod server_state;
+mod server_status;
 mod server_subset;
 mod settings;
 mod shares;
 mod spool;
 mod stable_wall_clock;
-mod standing;
 mod step;
 mod step_store;
 mod store_pacing;
@@ -53,23 +55,25 @@
     AdmissionDecision, AdmissionQueue, AdmissionSettings, AttemptReason, CallKind, CallRefusal, QueuedCallId,
     RefusalReason, RetrySchedule, SecondAttemptBudget, ServiceLoad, WaitOutcome, WaitingCall,
 };
-pub use answer_time::AnswerTimes;
 pub use broadcast::BroadcastQueue;
 pub use call_rank::{CallRank, call_priority};
 pub use change_feed::{ChangeFeed, FeedPosition};
-pub use direct_way::{DirectWay, WayChange};
+pub use direct_access::{AccessChange, DirectAccess};
 pub use draining::DrainingServers;
 pub use duty_gate::{DutyGate, DutySettings};
-pub use engine_fleet::{EngineFleet, FleetRow, FleetSettings, ScalingTerms, ZoneEngines, ZoneOrder};
+
 pub use engine_memory::{EngineMemory, SharedPrompt, TokenNeed};
 pub use engine_priority::{CallHistory, ServicePriorities, engine_priority, shows_preemption};
 pub use entry_settings::{ENTRY_FIELDS, EntrySettings, parse_entry_settings};
 pub use event_pace::{EventPace, PaceSample};
+pub use fleet_controller::{FleetController, FleetRow, FleetSettings, ScalingConfig, ZoneEngines, ZoneOrder};
 pub use follower_choice::{FollowerCandidate, choose_followers, follower_count, follower_order};
 pub use job_end_freshness::{JobEndFreshness, JobEndFreshnessSettings};
 pub use job_owner::{OwnerCandidate, choose_job_owner, successor_rank};
+pub use latency_estimate::LatencyEstimates;
 pub use lease::{LeaseAction, LeaseGrant, LeaseKeeper, LeaseRow, LeaseSettings};
 pub use limiter::{RetryBudget, UserLimiter};
+pub use load_balancer::{BalancerSettings, LoadBalancer, ServerNeed, SlotNeed};
 pub use load_message::{CustomerUsage, LoadMessage, ServerObservation, ServiceShares};
 pub use membership::{
     Heartbeat, Liveness, MembershipAction, MembershipEvent, MembershipSettings, PeerInfo, PeerMembership, PeerUpdate,
@@ -77,7 +81,6 @@
 pub use node_rows::{NODE_PARTITIONS, NodeRow, NodeRows, is_node_partition, node_partition};
 pub use outlier::{OutlierDetector, OutlierSettings};
 pub use ownership::{EligibleNode, EngineOwners, ModelOwner, OwnershipView};
-pub use placement::{BoardSettings, ServerBoard, ServerNeed, ServerRoom};
 pub use registry::{RegistrySettings, ServerEntry, ServerRegistry};
 pub use relay_selector::RelaySelector;
 pub use resource_limits::{
@@ -88,9 +91,10 @@
 };
 pub use run_move::{FINAL_MOVE_SLOWNESS, MOVE_SLOWNESS, RunMove};
 pub use run_timeouts::RunTimeouts;
-pub use server_belief::{ChoiceBasis, ServerBelief};
-pub use server_lines::{ServerLine, ToldLine};
-pub use server_notes::server_gossip;
+pub use server_health::{ServerHealth, ServerStats};
+pub use server_observations::server_gossip_settings;
+pub use server_state::{ServerSnapshot, ServerState};
+pub use server_status::{PeerObservation, ServerStatus};
 pub use server_subset::ServerCounts;
 pub use settings::{DaemonSettings, SETTINGS_FIELDS, parse_settings};
 pub use shares::{
@@ -99,7 +103,6 @@
 };
 pub use spool::{SampleSpool, SpoolSettings};
 pub use stable_wall_clock::StableWallClock;
-pub use standing::{ServerFigures, ServerStanding};
 pub use step::{
     GroupRow, GroupSpec, SealDecision, SealedGroup, StepRow, StepState, StepSubmission, decide_seal, group_key,
     group_prefix, open_step_key, step_key,
--- a/crates/trestlerack/src/request/dispatcher.rs
+++ b/crates/trestlerack/src/request/dispatcher.rs
@@ -359,7 +359,7 @@
             self.record_token_time(&running.engine, observed);
         }
         let engines = self.engines.len();
-        let ejected = self.outliers.record(now, &running.engine, succeeded, engines);
+        let ejected = self.outliers.record_response(now, &running.engine, succeeded, engines);
         ejected.then_some(DispatchAction::Ejected { engine: running.engine })
     }
 
--- a/crates/trestlerackd/src/entry/admission/service_calls.rs
+++ b/crates/trestlerackd/src/entry/admission/service_calls.rs
@@ -8,7 +8,7 @@
 use crate::process::{clock, logs};
 use std::sync::Arc;
 use std::time::Duration;
-use trestlerack::process::{AdmissionSettings, AttemptReason, CallKind, CallRank, ServerRoom, WaitingCall};
+use trestlerack::process::{AdmissionSettings, AttemptReason, CallKind, CallRank, SlotNeed, WaitingCall};
 use trestlerack::version::{Customer, RequestRoute};
 use trestlerack::{Name, Timestamp, event};
 
@@ -54,13 +54,13 @@
 pub async fn acquire_slot(
     node: &Arc<EntryNode>,
     call: &ServiceCall<'_>,
-    pick: impl Fn(ServerRoom) -> Option<ServerTicket>,
+    pick: impl Fn(SlotNeed) -> Option<ServerTicket>,
 ) -> Result<ServerTicket, Option<Duration>> {
     let waiting_call = call.waiting_call(node);
     // A slot is tried even if it only appears to be free: a full server replies sooner than a wait in the
     // queue would end, and another server may have a slot.
     if !node.admission.has_waiting_calls(call.service)
-        && let Some(ticket) = pick(ServerRoom::Place)
+        && let Some(ticket) = pick(SlotNeed::One)
     {
         let now = node.now();
         node.admission.with_queue(call.service, |service_queue| service_queue.queue.record_bypass(now, &waiting_call));
@@ -73,7 +73,7 @@
     let longest_wait = waiting_call.max_wait(&AdmissionSettings::default());
     let guard = wait_for_slot(node, call.service, waiting_call.clone()).await;
     let guard = guard.map_err(|refusal| Some(refusal.retry_after))?;
-    let pick = || pick(ServerRoom::Place).or_else(|| pick(ServerRoom::Any));
+    let pick = || pick(SlotNeed::One).or_else(|| pick(SlotNeed::Any));
     let ticket = pick();
     // Dropped only now that the ticket counts at the server, so that the next call does not take the same
     // slot.
--- a/crates/trestlerackd/src/entry/client_requests.rs
+++ b/crates/trestlerackd/src/entry/client_requests.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 use trestlerack::process::{MemoryPurpose, MemoryReservation};
 use trestlerack::request::{RequestContent, RequestFingerprint};
-use trestlerack::version::{CallerCredential, CallerVerdict, RouteKind, RoutingTable};
+use trestlerack::version::{CallerCredential, CallerIdentity, RouteKind, RoutingTable};
 use trestlerack::{Name, event};
 use trestlerack_platform::{self as platform, ClientHead, FrontCall};
 
@@ -54,7 +54,7 @@
     /// Values decoded from the headers.
     pub head: ClientHead,
     /// Identity of the caller.
-    pub caller: CallerVerdict,
+    pub caller: CallerIdentity,
     /// Body.
     pub body: Bytes,
     /// Memory reserved for the body, which is released with the request.
@@ -112,7 +112,7 @@
         method: parts.method,
         headers: parts.headers,
         head,
-        caller: CallerVerdict::Unknown,
+        caller: CallerIdentity::Unknown,
         body: Bytes::new(),
         reservation: node.resource_limits.memory.reserve(MemoryPurpose::Bodies, 0),
     };
--- a/crates/trestlerackd/src/entry/engine_memory.rs
+++ b/crates/trestlerackd/src/entry/engine_memory.rs
@@ -24,11 +24,11 @@
     let id = request.id();
     let Some(service) = route.service_for(id) else { return false };
     let (is_too_large, capacity) = {
-        let memory = &node.board.lock().unwrap().memory;
+        let memory = &node.balancer.lock().unwrap().memory;
         (memory.can_never_run(service, &tokens), memory.capacity(service).unwrap_or(0))
     };
     if is_too_large {
-        let prompt = tokens.whole_prompt();
+        let prompt = tokens.total_prompt();
         logs::write(event::REQUEST_OVERSIZE, &[("request", &id), ("prompt", &prompt), ("capacity", &capacity)]);
     }
     is_too_large
@@ -39,9 +39,9 @@
 pub fn log_full_engines(node: &EntryNode, request: &str, need: &ServerNeed<'_>) {
     let Some(tokens) = need.tokens else { return };
     let now = node.now();
-    let skipped = node.board.lock().unwrap().left_for_memory(now, need);
+    let skipped = node.balancer.lock().unwrap().skipped_for_memory(now, need);
     for (engine, held) in skipped {
-        let needed = tokens.alone();
+        let needed = tokens.total();
         let fields: [(&str, &dyn std::fmt::Display); 4] =
             [("request", &request), ("engine", &engine), ("held", &held), ("wanted", &needed)];
         logs::write(event::ENGINE_FULL, &fields);
@@ -53,11 +53,11 @@
 pub fn is_oversize(node: &EntryNode, driver: &JobDriver, index: usize, service: &str) -> bool {
     let Some(tokens) = driver.tokens[index] else { return false };
     let (is_oversize, capacity) = {
-        let memory = &node.board.lock().unwrap().memory;
+        let memory = &node.balancer.lock().unwrap().memory;
         (memory.is_oversize(service, &tokens), memory.capacity(service).unwrap_or(0))
     };
     if is_oversize && driver.oversize.lock().unwrap().insert(index) {
-        let (item, job, needed) = (&driver.spec.items[index].id, &driver.spec.id, tokens.alone());
+        let (item, job, needed) = (&driver.spec.items[index].id, &driver.spec.id, tokens.total());
         let fields: [(&str, &dyn std::fmt::Display); 4] =
             [("item", item), ("job", job), ("wanted", &needed), ("capacity", &capacity)];
         logs::write(event::ITEM_OVERSIZE, &fields);
@@ -74,7 +74,7 @@
 
 /// Returns the lines of the metrics page with the tokens that this node's runs use at each engine.
 pub fn metrics_lines(node: &EntryNode) -> String {
-    let usage = node.board.lock().unwrap().memory.holders();
+    let usage = node.balancer.lock().unwrap().memory.usage_by_engine();
     let line = |(engine, tokens): &(trestlerack::Name, u64)| {
         format!("trestlerack_entry_engine_tokens{{engine=\"{engine}\"}} {tokens}\n")
     };
--- a/crates/trestlerackd/src/entry/hedging.rs
+++ b/crates/trestlerackd/src/entry/hedging.rs
@@ -11,17 +11,17 @@
 /// not hedged.
 pub fn hedge_delay(node: &EntryNode, route: &RequestRoute, service: &Name) -> Option<Duration> {
     let target = Duration::from_millis(route.target_latency_ms);
-    node.board.lock().unwrap().hedge_delay(service, &route.name, target)
+    node.balancer.lock().unwrap().hedge_delay(service, &route.name, target)
 }
 
 /// Returns whether a call to a server is a probe of a degraded server.
 pub fn is_probe(node: &EntryNode, server: &str) -> bool {
-    node.board.lock().unwrap().is_probe(node.now(), server)
+    node.balancer.lock().unwrap().is_probe(node.now(), server)
 }
 
 /// Returns whether a service has a free slot for a second attempt.
 pub fn has_free_slot(node: &EntryNode, service: &str) -> bool {
-    node.board.lock().unwrap().has_free_slot(node.now(), service)
+    node.balancer.lock().unwrap().has_free_slot(node.now(), service)
 }
 
 /// Logs a hedged request: `server` was asked after `waited`.
--- a/crates/trestlerackd/src/entry/node.rs
+++ b/crates/trestlerackd/src/entry/node.rs
@@ -25,7 +25,8 @@
 use tokio::sync::{Notify, watch};
 use trestlerack::interfaces::Clock;
 use trestlerack::process::{
-    AnswerTimes, BoardSettings, EntrySettings, JobEndFreshness, NodeRow, RegistrySettings, ServerBoard, ServerRegistry,
+    BalancerSettings, EntrySettings, JobEndFreshness, LatencyEstimates, LoadBalancer, NodeRow, RegistrySettings,
+    ServerRegistry,
 };
 use trestlerack::request::JobRecord;
 use trestlerack::version::{RoutingTable, WeightVersion};
@@ -89,9 +90,9 @@
     /// Registered backend servers.
     pub registry: Mutex<ServerRegistry>,
     /// What is believed of them.
-    pub board: Mutex<ServerBoard>,
+    pub balancer: Mutex<LoadBalancer>,
     /// How long answers take, by route.
-    pub route_times: Mutex<AnswerTimes>,
+    pub route_times: Mutex<LatencyEstimates>,
     /// Tells that peers may be to be told of servers.
     pub has_server_notes: Notify,
     /// Calls that wait for a place of a service.
@@ -163,7 +164,7 @@
             routing: RwLock::new(None),
             key_refresh: KeyRefresh::default(),
             registry: Mutex::new(ServerRegistry::new(RegistrySettings::default())),
-            board: Mutex::new(ServerBoard::new(BoardSettings::default())),
+            balancer: Mutex::new(LoadBalancer::new(BalancerSettings::default())),
             route_times: Mutex::default(),
             has_server_notes: Notify::new(),
             admission: AdmissionControl::new(),
