--- a/crates/trestlerackd/src/entry/client_connections.rs
+++ b/crates/trestlerackd/src/entry/client_connections.rs
@@ -78,7 +78,7 @@
     let handler = service_fn(move |request: Request<Incoming>| {
         let (node, connection) = (handler_node.clone(), handler_connection.clone());
         // Boxed, because the connection would otherwise reserve memory for the future while it is idle.
-        Box::pin(async move { Ok::<_, Infallible>(answer(&node, &connection, request, handling).await) })
+        Box::pin(async move { Ok::<_, Infallible>(handle_request(&node, &connection, request, handling).await) })
     });
     let stream = WatchedStream::new(node.clone(), guard.connection.clone(), stream);
     let connection = hyper::server::conn::http1::Builder::new()
@@ -117,7 +117,7 @@
     let _ = flag.wait_for(|value| *value).await;
 }
 
-async fn answer(
+async fn handle_request(
     node: &Arc<EntryNode>,
     connection: &Arc<ClientConnection>,
     request: Request<Incoming>,
--- a/crates/trestlerackd/src/entry/engine_memory.rs
+++ b/crates/trestlerackd/src/entry/engine_memory.rs
@@ -40,10 +40,10 @@
     let Some(tokens) = need.tokens else { return };
     let now = node.now();
     let skipped = node.balancer.lock().unwrap().skipped_for_memory(now, need);
-    for (engine, held) in skipped {
+    for (engine, reserved) in skipped {
         let needed = tokens.total();
         let fields: [(&str, &dyn std::fmt::Display); 4] =
-            [("request", &request), ("engine", &engine), ("held", &held), ("wanted", &needed)];
+            [("request", &request), ("engine", &engine), ("held", &reserved), ("wanted", &needed)];
         logs::write(event::ENGINE_FULL, &fields);
     }
 }
--- a/crates/trestlerackd/tests/entry/held.rs
+++ b/crates/trestlerackd/tests/entry/held.rs
@@ -49,7 +49,7 @@
     );
     stream.set_write_timeout(Some(Duration::from_secs(2))).unwrap();
     stream.write_all(head.as_bytes()).ok()?;
-    // A body that is refused early may be cut off as it is sent.
+    // The write may fail, since a body may be refused before it is complete.
     let _ = stream.write_all(&vec![b'x'; sent]);
     Some(stream)
 }
@@ -83,7 +83,7 @@
     /// Sends a small request on its own connection.
     fn call(&mut self, daemon: &EntryDaemon) {
         self.sent += 1;
-        let (id, started) = (format!("innocent-{}", self.sent), Instant::now());
+        let (id, started) = (format!("normal-{}", self.sent), Instant::now());
         self.started.get_or_insert(started);
         let response = call(&daemon.client, "POST", "/safe/x", &[("request-id", &id)], "small");
         let took = started.elapsed();
@@ -111,8 +111,8 @@
 }
 
 fn check_resident(daemon: &EntryDaemon) {
-    let (now, most) = daemon.resident_bytes();
-    assert!(most <= MAX_RESIDENT_BYTES, "up to {most} bytes were resident, {now} are now");
+    let (now, max) = daemon.resident_bytes();
+    assert!(max <= MAX_RESIDENT_BYTES, "up to {max} bytes were resident, {now} are now");
 }
 
 fn memory(metrics: &str) -> Value {
@@ -154,7 +154,7 @@
     let is_refused = |status: &&Option<u16>| matches!(status, Some(408 | 503));
     assert_eq!(statuses.iter().filter(is_refused).count(), 500, "{statuses:?}");
     normal_calls.check();
-    assert!(platform.plain.runs.lock().unwrap().iter().all(|id| id.starts_with("innocent")));
+    assert!(platform.plain.runs.lock().unwrap().iter().all(|id| id.starts_with("normal")));
 }
 
 /// Guards against uploads that stall in the middle of the body and keep their memory: each ends at its own
@@ -200,7 +200,7 @@
         stream.write_all(head.as_bytes()).unwrap();
         let chunk = format!("{:x}\r\n{}\r\n", 50_000, "y".repeat(50_000));
         (0..chunks).for_each(|_| drop(stream.write_all(chunk.as_bytes())));
-        // A body that is refused early may be cut off as it is sent.
+        // The write may fail, since a body may be refused before it is complete.
         let _ = stream.write_all(b"0\r\n\r\n");
         read_response(&mut BufReader::new(stream)).unwrap()
     };
--- a/crates/trestlerackd/tests/entry/room.rs
+++ b/crates/trestlerackd/tests/entry/room.rs
@@ -101,8 +101,11 @@
     platform.plain.most_at_once.store(0, Ordering::SeqCst);
     let calls = [ids("other", 12), ids("urgent", 12)].concat();
     let outcomes = burst(&node.daemon.client, "/safe/x", &calls);
-    let most = platform.plain.most_at_once.load(Ordering::SeqCst);
-    assert!(most <= SERVER_SLOTS + SERVER_SLOTS / 2, "{most} concurrent calls at {SERVER_SLOTS} slots");
+    let max_concurrent = platform.plain.most_at_once.load(Ordering::SeqCst);
+    assert!(
+        max_concurrent <= SERVER_SLOTS + SERVER_SLOTS / 2,
+        "{max_concurrent} concurrent calls at {SERVER_SLOTS} slots"
+    );
     let runs = platform.plain.runs.lock().unwrap().clone();
     let mut refused = 0;
     for (id, response, took) in &outcomes {
@@ -118,10 +121,10 @@
     }
     assert!(refused >= outcomes.len() / 4, "{refused} refused");
     assert!(node.count("TR2121") > 0, "no call waited");
-    let lines = call(&node.metrics, "GET", "/v1/room", &[], "").unwrap().json();
-    let line = lines.as_array().unwrap().iter().find(|line| line["service"] == "plain").unwrap();
-    assert_eq!(line["waiting"], 0);
-    assert!(line["refused_customers"].as_str().unwrap().contains("other:"), "{line}");
+    let rows = call(&node.metrics, "GET", "/v1/room", &[], "").unwrap().json();
+    let row = rows.as_array().unwrap().iter().find(|row| row["service"] == "plain").unwrap();
+    assert_eq!(row["waiting"], 0);
+    assert!(row["refused_customers"].as_str().unwrap().contains("other:"), "{row}");
     let page = call(&node.metrics, "GET", "/metrics", &[], "").unwrap().body;
     for metric in ["room_calls", "room_attempts", "room_wait_ms", "room_queue_length", "room_refusals"] {
         assert!(page.contains(metric), "{metric}");
