--- a/crates/trestlerackd/src/entry/resource_limits/mod.rs
+++ b/crates/trestlerackd/src/entry/resource_limits/mod.rs
@@ -33,7 +33,7 @@
 use trestlerack::{Timestamp, event};
 use uploads::UploadTable;
 
-/// Divisor of the memory limit: clients' connections, while idle, may use up to this part of it.
+/// Divisor of the memory limit. Idle connections of clients may use at most the resulting part of it.
 const IDLE_CONNECTIONS_DIVISOR: usize = 4;
 
 /// Minimum time between two log lines of the same decision, so that a flood of clients does not flood the
@@ -51,7 +51,7 @@
     BodyRefused,
     /// An upload was aborted, as it was too slow or memory ran short.
     UploadAborted,
-    /// A download was closed, as its client read too slowly.
+    /// A download was closed, as its client read too slowly or memory ran short.
     DownloadClosed,
     /// A new connection was refused, or an idle one was closed in its favour.
     ConnectionsFull,
@@ -93,7 +93,7 @@
     pub clients: ConnectionTable,
     uploads: UploadTable,
     /// Locked by the response that tries to reserve memory; other waiting responses queue for the lock.
-    waiting_turn: tokio::sync::Mutex<()>,
+    retry_lock: tokio::sync::Mutex<()>,
     /// Limits how often a stalled download is searched for, however many responses wait.
     close_limiter: IntervalLimiter,
     counts: [AtomicU64; LimitDecision::ALL.len()],
@@ -111,7 +111,7 @@
             connections: ConnectionCounter::new(descriptors.capped(ConnectionKind::Clients, clients)),
             clients: ConnectionTable::default(),
             uploads: UploadTable::default(),
-            waiting_turn: tokio::sync::Mutex::default(),
+            retry_lock: tokio::sync::Mutex::default(),
             close_limiter: IntervalLimiter::every(CLOSE_INTERVAL),
             counts: Default::default(),
             log_limiters: std::array::from_fn(|_| IntervalLimiter::every(LOG_INTERVAL)),
--- a/crates/trestlerackd/src/entry/resource_limits/response_reader.rs
+++ b/crates/trestlerackd/src/entry/resource_limits/response_reader.rs
@@ -59,7 +59,7 @@
         Err(ReserveError::Exhausted) => log_wait(node, request, more),
     }
     // Only one response at a time tries again, so that hundreds of waiting ones cost no more than one.
-    let _turn = node.resource_limits.waiting_turn.lock().await;
+    let _guard = node.resource_limits.retry_lock.lock().await;
     while let Err(error) = reservation.try_grow(more) {
         if error == ReserveError::TooLarge {
             return None;
