--- a/crates/trestlerackd/src/entry/job_calls.rs
+++ b/crates/trestlerackd/src/entry/job_calls.rs
@@ -150,7 +150,7 @@
             // unavailable no results are recorded either.
             return Ok(read_job(node, job).await.unwrap_or(view));
         }
-        if node.levels.is_direct() {
+        if node.follower.is_direct() {
             // A change of any job and the deadline both lead to the next check, so the outcome is ignored.
             let _ = clock::timeout(deadline.since(now), changes.changed()).await;
         } else {
--- a/crates/trestlerackd/src/entry/mod.rs
+++ b/crates/trestlerackd/src/entry/mod.rs
@@ -17,7 +17,7 @@
 mod engine_memory;
 mod engine_priority;
 mod feed_relay;
-mod feeds;
+mod follower_state;
 mod hedging;
 mod item_run;
 mod job_accept;
@@ -29,7 +29,6 @@
 mod job_takeover;
 mod job_texts;
 mod lease_book;
-mod levels;
 mod metrics;
 mod news;
 mod node;
@@ -43,8 +42,8 @@
 mod run_moves;
 mod score_calls;
 mod server_answers;
+mod server_discovery;
 mod server_end;
-mod server_feed;
 mod server_ticket;
 mod shares;
 mod status;
@@ -52,6 +51,7 @@
 mod store;
 mod streams;
 mod suspects;
+mod table_watch;
 mod tables;
 mod trail;
 mod weight_book;
@@ -93,9 +93,9 @@
         tokio::spawn(metrics::serve(node.clone(), listener));
     }
     for table in [platform::OPERATOR_TABLE, platform::SERVER_TABLE, tables::STATE] {
-        tokio::spawn(feeds::follow(node.clone(), table));
+        tokio::spawn(table_watch::follow_table(node.clone(), table));
     }
-    tokio::spawn(feed_relay::keep_level(node.clone()));
+    tokio::spawn(feed_relay::maintain_role(node.clone()));
     tokio::spawn(note_suspensions(node.clone()));
     tokio::spawn(keep_registered(node.clone()));
     tokio::spawn(probe_store(node.clone()));
--- a/crates/trestlerackd/src/entry/node.rs
+++ b/crates/trestlerackd/src/entry/node.rs
@@ -2,10 +2,10 @@
 
 use super::admission::AdmissionControl;
 use super::callers::KeyRefresh;
-use super::duties::UsageBook;
+use super::duties::UsageTracker;
+use super::follower_state::FollowerState;
 use super::job_driver::JobDriver;
 use super::lease_book::LeaseBook;
-use super::levels::LevelDesk;
 use super::metrics::EntryMetrics;
 use super::peers::PeerClient;
 use super::pool::ConnectionPool;
@@ -113,10 +113,10 @@
     pub weights: WeightBook,
     /// The lease on weight orders and duties.
     pub lease: LeaseBook,
-    /// Requests of customers that began to run.
-    pub usage: UsageBook,
-    /// Whether this node follows the store, and what it passes on.
-    pub levels: LevelDesk,
+    /// Customers' requests that started to run.
+    pub usage: UsageTracker,
+    /// Whether this node follows the store, and the changes that it relays.
+    pub follower: FollowerState,
     /// Version of this node's row when it was written last; the largest number before.
     pub registered_at: AtomicU64,
     /// How old what is known of ended jobs is.
@@ -176,8 +176,8 @@
             unlisted: Notify::new(),
             weights: WeightBook::default(),
             lease: LeaseBook::default(),
-            usage: UsageBook::new(settings.usage()),
-            levels: LevelDesk::new(clock.now()),
+            usage: UsageTracker::new(settings.usage()),
+            follower: FollowerState::new(clock.now()),
             registered_at: AtomicU64::new(u64::MAX),
             end_news: Mutex::default(),
             jobs: Mutex::default(),
