--- a/crates/trestlerackd/src/entry/client_connections.rs
+++ b/crates/trestlerackd/src/entry/client_connections.rs
@@ -132,7 +132,7 @@
 }
 
 fn refuse(request: &Request<Incoming>) -> Response<client_requests::ReplyBody> {
-    let head = platform::decode_client_head(request.headers());
+    let head = platform::decode_request_head(request.headers());
     let mut reply = platform::not_run_reply(head.request_id.as_ref(), FULL_RETRY_DELAY).map(client_requests::full_body);
     reply.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     reply
--- a/crates/trestlerackd/src/entry/duties/usage_report.rs
+++ b/crates/trestlerackd/src/entry/duties/usage_report.rs
@@ -16,7 +16,7 @@
 use trestlerack::process::{UsageReport, UsageSettings, UsageSnapshot, WindowSnapshots};
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall, StoreReply};
 use trestlerack::{Name, Timestamp, event};
-use trestlerack_platform::{self as platform, DutyAnswer};
+use trestlerack_platform::{self as platform, DutyOutcome};
 
 /// Interval between two checks for windows to report.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -237,20 +237,20 @@
     else {
         return;
     };
-    let encode = |holder: platform::DutyHolder<'_>| platform::encode_usage(holder, window, &report.counts);
+    let encode = |holder: platform::LeaseHolder<'_>| platform::encode_usage_report(holder, window, &report.counts);
     let Some((fence, answer)) = caller.call(node, encode).await else { return };
     logs::write(event::USAGE_REPORTED, &[("window", &window), ("fence", &fence), ("answer", &answer.as_str())]);
     match answer {
-        DutyAnswer::Done => {
+        DutyOutcome::Done => {
             state.unsent.remove(&window);
             state.unmarked.insert(window, report);
         }
         // The same report would be refused again, and later windows must not wait for it.
-        DutyAnswer::Refused | DutyAnswer::NoneLeft => {
+        DutyOutcome::Refused | DutyOutcome::NoneLeft => {
             state.unsent.remove(&window);
             node.metrics.usage_missed(1);
         }
-        DutyAnswer::RateLimited | DutyAnswer::Unknown => state.retry_at = node.now() + RETRY_BACKOFF,
+        DutyOutcome::RateLimited | DutyOutcome::Unknown => state.retry_at = node.now() + RETRY_BACKOFF,
     }
 }
 
--- a/crates/trestlerackd/src/entry/job_calls.rs
+++ b/crates/trestlerackd/src/entry/job_calls.rs
@@ -90,7 +90,7 @@
     from: usize,
     request: &ClientRequest,
 ) -> Response<ReplyBody> {
-    let deadline = node.now() + request.head.poll_time;
+    let deadline = node.now() + request.head.poll_timeout;
     if let Err(error) = find_caller_job(node, job, request).await {
         return error_reply(&error, request, job);
     }
@@ -109,8 +109,8 @@
     if view.head.recorded > from && results.is_empty() {
         return error_reply(&JobLookupError::Unavailable, request, job);
     }
-    let page = platform::JobRead { total: view.head.total, from, results };
-    match platform::encode_page(&page) {
+    let page = platform::ResultPage { total: view.head.total, offset: from, results };
+    match platform::encode_result_page(&page) {
         Ok(body) => json_reply(body, request),
         Err(error) => {
             logs::write(event::JOB_READ_FAILED, &[("job", job), ("why", &error)]);
