--- a/crates/trestlerackd/src/entry/attempt.rs
+++ b/crates/trestlerackd/src/entry/attempt.rs
@@ -140,7 +140,7 @@
         let is_gone = platform::responding_instance(&parts.headers).is_some_and(|other| other != instance);
         record_refusal(node, &instance, is_gone);
         if !is_gone {
-            admission::note_full(node, &guard.server.service);
+            admission::record_full_server(node, &guard.server.service);
         }
         keep_after_refusal(node, body, lease, &head).await;
         return Err(AttemptError::NotRun(format!("refused with {}", parts.status)));
@@ -187,7 +187,7 @@
     let request_id = request.request_id.to_owned();
     let exchange = async {
         let open = open_response(node, guard, request, wants_fresh).await?;
-        let body = resource_limits::read_answer(node, &request_id, open.body, MAX_RESPONSE_BYTES).await;
+        let body = resource_limits::read_response(node, &request_id, open.body, MAX_RESPONSE_BYTES).await;
         let Some((body, reservation)) = body else {
             node.balancer.lock().unwrap().failed(node.now(), &instance);
             crash_detection::check_broken_connection(node, &open.guard, &request_id).await;
@@ -204,7 +204,7 @@
         Ok(response) => response,
         Err(_) => {
             // A server whose response waits for memory at this node is not at fault.
-            if !node.held.is_pressed() {
+            if !node.resource_limits.is_near_limit() {
                 node.balancer.lock().unwrap().failed(node.now(), &instance);
             }
             Err(AttemptError::MayHaveRun("no whole answer in time".into()))
--- a/crates/trestlerackd/src/entry/attempts.rs
+++ b/crates/trestlerackd/src/entry/attempts.rs
@@ -4,7 +4,7 @@
 //! can still arrive in time; see [docs/design/uneven-load.md](../../../../docs/design/uneven-load.md#parts).
 
 use super::attempt::{self, AttemptError, CompleteResponse};
-use super::front::ClientRequest;
+use super::client_requests::ClientRequest;
 use super::in_flight::InFlightGuard;
 use super::node::EntryNode;
 use super::plain::{self, RequestFailure};
@@ -228,7 +228,7 @@
             }
         };
         let server = guard.server.instance.clone();
-        let is_probe = hedging::is_trial(self.node, &server);
+        let is_probe = hedging::is_probe(self.node, &server);
         state.pending.push(PendingAttempt { server, timer: ResponseTimer::start(self.node), is_probe });
         Some(guard)
     }
@@ -248,7 +248,7 @@
             state.is_overdue = true;
             state.wants_server = true;
         } else {
-            state.wants_server = hedging::has_place(self.node, service);
+            state.wants_server = hedging::has_free_slot(self.node, service);
         }
     }
 
@@ -298,12 +298,12 @@
         let pick = |slot_need| plain::pick_server(node, route, request, fingerprint, history.tried(), slot_need);
         let guard = pick(SlotNeed::One)?;
         let call = plain::service_call(route, request, history.started(), deadline)?;
-        if is_hedge && !previous.is_probe && !admission::may_try_again(node, &call, AttemptReason::Hedge) {
+        if is_hedge && !previous.is_probe && !admission::try_spend_attempt(node, &call, AttemptReason::Hedge) {
             return None;
         }
         history.record_server(&guard.server.instance);
         let (id, waited) = (request.id(), node.now().since(previous.timer.started));
-        hedging::log_asked(id, &guard.server.instance, waited);
+        hedging::log_hedge(id, &guard.server.instance, waited);
         Some(guard)
     }
 
@@ -318,7 +318,7 @@
         if overdue_at <= node.now() {
             return NextAttempt::Never;
         }
-        let hedge_delay = self.service().and_then(|service| hedging::after(node, route, service));
+        let hedge_delay = self.service().and_then(|service| hedging::hedge_delay(node, route, service));
         match hedge_delay.map(|delay| last.timer.started + delay) {
             Some(hedge_at) if !state.is_hedge_decided && hedge_at < overdue_at => NextAttempt::Hedge(hedge_at),
             _ => NextAttempt::Overdue(overdue_at),
--- a/crates/trestlerackd/src/entry/in_flight.rs
+++ b/crates/trestlerackd/src/entry/in_flight.rs
@@ -53,7 +53,7 @@
     /// Records that the request is sent to the server.
     pub fn record_sent(&self) {
         self.is_outcome_pending.store(true, Ordering::Relaxed);
-        admission::note_attempt(&self.node, &self.server.service);
+        admission::record_attempt(&self.node, &self.server.service);
     }
 
     /// Records that the outcome is known: a response, a refusal or a broken connection.
@@ -93,6 +93,6 @@
         if let Some(suspect_run) = self.suspect_run {
             self.node.suspects.tracker().end_run(&self.server.instance, suspect_run);
         }
-        admission::place_freed(&self.node, &self.server.service);
+        admission::slot_freed(&self.node, &self.server.service);
     }
 }
--- a/crates/trestlerackd/src/entry/job_accept.rs
+++ b/crates/trestlerackd/src/entry/job_accept.rs
@@ -1,6 +1,6 @@
 //! Accepts batch jobs. Each is stored exactly once, also if replies of the store are lost.
 
-use super::front::{ClientRequest, ReplyBody, full_reply, own_reply};
+use super::client_requests::{ClientRequest, ReplyBody, empty_reply, full_body};
 use super::job_calls::{CLIENT_WRITE_RETRY_DELAY, CLIENT_WRITE_TIMEOUT, spec_object};
 use super::node::EntryNode;
 use super::tables;
@@ -30,13 +30,13 @@
 pub async fn submit(node: &Arc<EntryNode>, route: &RequestRoute, mut request: ClientRequest) -> Response<ReplyBody> {
     let started = node.now();
     let Some(id) = request.head.request_id.clone() else {
-        return own_reply(StatusCode::BAD_REQUEST, None);
+        return empty_reply(StatusCode::BAD_REQUEST, None);
     };
     let spec = match platform::decode_job(&id, &request.host, &request.path, &request.body) {
         Ok(spec) => Arc::new(spec),
         Err(error) => {
             logs::write(event::REQUEST_REFUSED, &[("request", &id), ("why", &error)]);
-            return platform::plain_reply(StatusCode::BAD_REQUEST, Some(&id), error.to_string()).map(full_reply);
+            return platform::plain_reply(StatusCode::BAD_REQUEST, Some(&id), error.to_string()).map(full_body);
         }
     };
     // The decoded job replaces the body in memory; the body must not stay while the store is unavailable.
@@ -44,13 +44,13 @@
     let outcome = accept(node, &spec, request.customer()).await;
     let took = node.now().since(started);
     let (status, reply) = match &outcome {
-        Ok(_) => (StatusCode::ACCEPTED, own_reply(StatusCode::ACCEPTED, Some(&id))),
-        Err(SubmitError::IdTaken) => (StatusCode::CONFLICT, own_reply(StatusCode::CONFLICT, Some(&id))),
+        Ok(_) => (StatusCode::ACCEPTED, empty_reply(StatusCode::ACCEPTED, Some(&id))),
+        Err(SubmitError::IdTaken) => (StatusCode::CONFLICT, empty_reply(StatusCode::CONFLICT, Some(&id))),
         Err(SubmitError::NotAccepted) => {
-            let reply = platform::not_run_reply(Some(&id), STORE_RETRY_AFTER).map(full_reply);
+            let reply = platform::not_run_reply(Some(&id), STORE_RETRY_AFTER).map(full_body);
             (StatusCode::SERVICE_UNAVAILABLE, reply)
         }
-        Err(SubmitError::Unknown) => (StatusCode::BAD_GATEWAY, own_reply(StatusCode::BAD_GATEWAY, Some(&id))),
+        Err(SubmitError::Unknown) => (StatusCode::BAD_GATEWAY, empty_reply(StatusCode::BAD_GATEWAY, Some(&id))),
     };
     let ms = took.as_millis();
     let (items, store_version) = (spec.items.len(), outcome.as_ref().copied().unwrap_or(0));
@@ -85,7 +85,7 @@
         return check_known_job(&view.head, view.version, spec, customer);
     }
     let content = tables::encode(&**spec);
-    let mut memory = node.held.ledger.reserve(MemoryPurpose::Texts, spec.bytes() + content.len());
+    let mut memory = node.resource_limits.memory.reserve(MemoryPurpose::Texts, spec.bytes() + content.len());
     if let Some(customer) = customer {
         memory.set_customer(customer);
     }
--- a/crates/trestlerackd/src/entry/job_calls.rs
+++ b/crates/trestlerackd/src/entry/job_calls.rs
@@ -1,6 +1,6 @@
 //! Client calls on accepted jobs: read results, read the body of an item, end a job.
 
-use super::front::{ClientRequest, ReplyBody, full_reply, own_reply};
+use super::client_requests::{ClientRequest, ReplyBody, empty_reply, full_body};
 use super::node::{EntryNode, JobView};
 use super::tables;
 use crate::process::clock;
@@ -74,11 +74,11 @@
     match error {
         JobLookupError::NotFound => {
             logs::write(event::JOB_READ_FAILED, &[("job", job), ("why", &"no such job")]);
-            own_reply(StatusCode::NOT_FOUND, id)
+            empty_reply(StatusCode::NOT_FOUND, id)
         }
         JobLookupError::Unavailable => {
             logs::write(event::JOB_READ_FAILED, &[("job", job), ("why", &"the store is unavailable")]);
-            platform::not_run_reply(id, UNAVAILABLE_RETRY_AFTER).map(full_reply)
+            platform::not_run_reply(id, UNAVAILABLE_RETRY_AFTER).map(full_body)
         }
     }
 }
@@ -114,13 +114,13 @@
         Ok(body) => json_reply(body, request),
         Err(error) => {
             logs::write(event::JOB_READ_FAILED, &[("job", job), ("why", &error)]);
-            own_reply(StatusCode::INTERNAL_SERVER_ERROR, request.head.request_id.as_ref())
+            empty_reply(StatusCode::INTERNAL_SERVER_ERROR, request.head.request_id.as_ref())
         }
     }
 }
 
 fn json_reply(body: Bytes, request: &ClientRequest) -> Response<ReplyBody> {
-    let mut reply = platform::plain_reply(StatusCode::OK, request.head.request_id.as_ref(), body).map(full_reply);
+    let mut reply = platform::plain_reply(StatusCode::OK, request.head.request_id.as_ref(), body).map(full_body);
     reply.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
     reply
 }
@@ -201,8 +201,8 @@
         },
     };
     match spec.items.iter().find(|job_item| job_item.id == *item) {
-        Some(job_item) => platform::plain_reply(StatusCode::OK, id, job_item.body.clone()).map(full_reply),
-        None => own_reply(StatusCode::NOT_FOUND, id),
+        Some(job_item) => platform::plain_reply(StatusCode::OK, id, job_item.body.clone()).map(full_body),
+        None => empty_reply(StatusCode::NOT_FOUND, id),
     }
 }
 
@@ -238,13 +238,13 @@
             RowTransaction::new(job.clone()).put(tables::STATE, tables::END, tables::encode(&node.settings.name));
         if !retry_write(node, transaction).await {
             logs::write(event::JOB_READ_FAILED, &[("job", job), ("why", &"the end could not be stored")]);
-            return own_reply(StatusCode::BAD_GATEWAY, id);
+            return empty_reply(StatusCode::BAD_GATEWAY, id);
         }
         logs::write(event::JOB_ENDED, &[("job", job), ("listed", &view.head.recorded), ("total", &view.head.total)]);
         node.learn_end(job);
         tokio::spawn(notify_owner(node.clone(), job.clone(), view.head.owner_address.clone()));
     }
-    own_reply(StatusCode::OK, id)
+    empty_reply(StatusCode::OK, id)
 }
 
 /// Tells the owner of a job that the job has ended, so that it does not run items until its watch reports it.
--- a/crates/trestlerackd/src/entry/job_driver.rs
+++ b/crates/trestlerackd/src/entry/job_driver.rs
@@ -211,7 +211,7 @@
     let node = node.clone();
     let tracker = JobTracker::new(spec.clone(), TrackerSettings::default(), Vec::new(), HashMap::new());
     // An accepted job is kept even over the memory limit. Reserving its bytes makes the node shed other load.
-    let mut memory = node.held.ledger.reserve(MemoryPurpose::Texts, spec.bytes());
+    let mut memory = node.resource_limits.memory.reserve(MemoryPurpose::Texts, spec.bytes());
     if let Some(customer) = &record.customer {
         memory.set_customer(customer);
     }
@@ -272,7 +272,7 @@
             logged_at = node.now();
             log_progress(node, driver);
         }
-        if node.held.is_bounded() {
+        if node.resource_limits.is_bounded() {
             driver.update_memory();
         }
         if let Some(routing) = node.routing() {
--- a/crates/trestlerackd/src/entry/job_runs.rs
+++ b/crates/trestlerackd/src/entry/job_runs.rs
@@ -51,7 +51,7 @@
 
 fn start_job_items(node: &Arc<EntryNode>, driver: &Arc<JobDriver>, route: &RequestRoute) {
     let now = node.now();
-    let mut remaining_runs = node.held.runs_left(now, || count_runs(node));
+    let mut remaining_runs = node.resource_limits.remaining_runs(now, || count_runs(node));
     let mut tracker = driver.tracker.lock().unwrap();
     let waiting: Vec<usize> = tracker.waiting(now).collect();
     if waiting.is_empty() {
@@ -75,7 +75,7 @@
         }
         drop(balancer);
         let (entry, needs_isolation) = choose_engine(node, driver.fingerprints[index], &need);
-        engine_memory::log_left(node, &item.id, &need);
+        engine_memory::log_full_engines(node, &item.id, &need);
         let is_oversize = engine_memory::is_oversize(node, driver, index, need.service);
         match entry {
             // The item waits until the memory limit allows another text.
@@ -246,7 +246,7 @@
         RunKind::Primary => {
             let is_complete = tracker.end_run(node.now(), index, end);
             if end == RunEnd::NotRun {
-                engine_memory::put_off_oversize(node, driver, &mut tracker, index);
+                engine_memory::defer_oversize(node, driver, &mut tracker, index);
             }
             (is_complete, RunKind::Speculative)
         }
--- a/crates/trestlerackd/src/entry/metrics.rs
+++ b/crates/trestlerackd/src/entry/metrics.rs
@@ -1,6 +1,6 @@
 //! Counters and histograms, served as text on the metrics address.
 
-use super::admission::RoomMetrics;
+use super::admission::AdmissionMetrics;
 use super::node::EntryNode;
 use super::{engine_memory, resource_limits, status};
 use http::StatusCode;
@@ -36,7 +36,7 @@
     server_crashes: Counter<u64>,
     over_share: Counter<u64>,
     /// Metrics of admission control.
-    pub room: RoomMetrics,
+    pub admission: AdmissionMetrics,
 }
 
 impl EntryMetrics {
@@ -56,7 +56,7 @@
             blocked_requests: meter.u64_counter("trestlerack.entry.requests.held").build(),
             server_crashes: meter.u64_counter("trestlerack.entry.servers.ended").build(),
             over_share: meter.u64_counter("trestlerack.entry.requests.over.share").build(),
-            room: RoomMetrics::start(&meter),
+            admission: AdmissionMetrics::start(&meter),
             registry,
             _meters: meters,
         })
@@ -133,7 +133,7 @@
     page.extend_from_slice(engine_memory::metrics_lines(node).as_bytes());
     server_gauges(node, &mut page);
     let mut lines = format!("trestlerack_entry_connections_opened {}\n", node.pool.opened_count());
-    resource_limits::write_metrics(&node.held, &mut lines);
+    resource_limits::write_metrics(&node.resource_limits, &mut lines);
     page.extend_from_slice(lines.as_bytes());
     page
 }
--- a/crates/trestlerackd/src/entry/node.rs
+++ b/crates/trestlerackd/src/entry/node.rs
@@ -1,6 +1,6 @@
 //! The state that an entry node shares between its tasks.
 
-use super::admission::RoomDesk;
+use super::admission::AdmissionControl;
 use super::callers::KeyRefresh;
 use super::duties::UsageTracker;
 use super::follower_state::FollowerState;
@@ -9,7 +9,7 @@
 use super::metrics::EntryMetrics;
 use super::peers::PeerClient;
 use super::pool::ConnectionPool;
-use super::resource_limits::HeldDesk;
+use super::resource_limits::ResourceLimiter;
 use super::shares::ShareControl;
 use super::store::{DirectStore, RelayedStore};
 use super::suspects::SuspectControl;
@@ -96,7 +96,7 @@
     /// Tells that peers may be to be told of servers.
     pub has_server_notes: Notify,
     /// Calls that wait for a place of a service.
-    pub room: RoomDesk,
+    pub admission: AdmissionControl,
     /// Requests under which servers ended.
     pub suspects: SuspectControl,
     /// Shares of customers in services that are short.
@@ -138,7 +138,7 @@
     /// Whether connections of clients are to end.
     pub closing: watch::Sender<bool>,
     /// What is held for callers, and the bounds of it.
-    pub held: Arc<HeldDesk>,
+    pub resource_limits: Arc<ResourceLimiter>,
     /// Open connections of clients.
     pub client_connections: AtomicUsize,
     writes: AtomicU64,
@@ -149,8 +149,8 @@
     pub fn open(settings: EntrySettings) -> anyhow::Result<Self> {
         let clock = SystemClock::new();
         let now = clock.now();
-        let held = Arc::new(HeldDesk::new(&settings));
-        let pool = Arc::new(ConnectionPool::new(held.descriptors.clone(), settings.store.clone()));
+        let resource_limits = Arc::new(ResourceLimiter::new(&settings));
+        let pool = Arc::new(ConnectionPool::new(resource_limits.connections.clone(), settings.store.clone()));
         let peers = Arc::new(PeerClient::new(pool.clone(), settings.peer_listen.clone(), settings.seeds.clone()));
         let direct_store = Arc::new(DirectStore::new(pool.clone(), settings.store.clone()));
         Ok(Self {
@@ -167,7 +167,7 @@
             balancer: Mutex::new(LoadBalancer::new(BalancerSettings::default())),
             route_times: Mutex::default(),
             has_server_notes: Notify::new(),
-            room: RoomDesk::new(),
+            admission: AdmissionControl::new(),
             suspects: SuspectControl::new(&settings),
             shares: ShareControl::new(now, settings.name.clone()),
             has_registry: AtomicBool::new(false),
@@ -188,7 +188,7 @@
             tracer: start_tracer(&settings.otlp_endpoint)?,
             stopping: watch::channel(false).0,
             closing: watch::channel(false).0,
-            held,
+            resource_limits,
             client_connections: AtomicUsize::new(0),
             writes: AtomicU64::new(1),
             settings,
--- a/crates/trestlerackd/src/entry/plain.rs
+++ b/crates/trestlerackd/src/entry/plain.rs
@@ -1,12 +1,12 @@
 //! Forwards requests to a backend server of their route's service.
 
-use super::admission::{self, RoomCall};
+use super::admission::{self, ServiceCall};
 use super::attempt::CompleteResponse;
-use super::front::{ClientRequest, ReplyBody, full_reply};
+use super::client_requests::{ClientRequest, ReplyBody, full_body};
 use super::in_flight::InFlightGuard;
 use super::node::EntryNode;
 use super::request_history::RequestHistory;
-use super::resource_limits::AnswerBytes;
+use super::resource_limits::ResponseReservation;
 use super::{attempts, choice_log, engine_memory, shares, streams, suspects};
 use crate::process::clock;
 use http::{HeaderMap, Response, StatusCode};
@@ -77,7 +77,7 @@
     let deadline = node.now() + limit;
     let mut history = RequestHistory::new(node, &request, &route.name);
     if engine_memory::is_too_large(node, route, &request) {
-        let reply = platform::not_run_reply(request.head.request_id.as_ref(), TOO_LARGE_RETRY_AFTER).map(full_reply);
+        let reply = platform::not_run_reply(request.head.request_id.as_ref(), TOO_LARGE_RETRY_AFTER).map(full_body);
         history.record_response(reply.status());
         return reply;
     }
@@ -117,10 +117,10 @@
 }
 
 fn complete_reply(response: CompleteResponse) -> Response<ReplyBody> {
-    let mut reply = Response::new(full_reply(response.body));
+    let mut reply = Response::new(full_body(response.body));
     *reply.status_mut() = response.status;
     copy_headers(&response.headers, reply.headers_mut());
-    reply.extensions_mut().insert(AnswerBytes::new(response.reservation));
+    reply.extensions_mut().insert(ResponseReservation::new(response.reservation));
     reply
 }
 
@@ -143,7 +143,7 @@
         RequestFailure::MayHaveRun => platform::plain_reply(StatusCode::BAD_GATEWAY, id, ""),
         RequestFailure::TimedOut => platform::plain_reply(StatusCode::GATEWAY_TIMEOUT, id, ""),
     };
-    reply.map(full_reply)
+    reply.map(full_body)
 }
 
 /// Returns the time after which a repeatable request is overdue at a server: the late threshold of its route, or
@@ -189,11 +189,11 @@
     request: &'a ClientRequest,
     arrived: Timestamp,
     deadline: Timestamp,
-) -> Option<RoomCall<'a>> {
+) -> Option<ServiceCall<'a>> {
     let id = request.id();
     let service = route.service_for(id)?;
     let customer = request.caller.customer();
-    Some(RoomCall { id, service, route, customer, kind: CallKind::Client, arrived, deadline })
+    Some(ServiceCall { id, service, route, customer, kind: CallKind::Client, arrived, deadline })
 }
 
 /// Returns whether a client has received a part of its stream, which has to be completed.
@@ -205,20 +205,20 @@
 /// second slot, since another call can use that for its first attempt. A stream that has begun does queue.
 async fn find_slot(
     node: &Arc<EntryNode>,
-    call: &RoomCall<'_>,
+    call: &ServiceCall<'_>,
     history: &RequestHistory,
     pick: impl Fn(SlotNeed) -> Option<InFlightGuard>,
 ) -> Result<InFlightGuard, Option<Duration>> {
     if history.tried().is_empty() {
-        admission::note_call(node, call);
+        admission::record_call(node, call);
     }
     // A call that no server ran yet queues like any other call.
     if history.runs() == 0 || is_resuming(call.route, history) {
-        return admission::enter(node, call, pick).await;
+        return admission::acquire_slot(node, call, pick).await;
     }
     match pick(SlotNeed::One) {
         Some(guard) => Ok(guard),
-        None if admission::may_try_again(node, call, AttemptReason::Retry) => pick(SlotNeed::Any).ok_or(None),
+        None if admission::try_spend_attempt(node, call, AttemptReason::Retry) => pick(SlotNeed::Any).ok_or(None),
         None => Err(None),
     }
 }
@@ -237,7 +237,7 @@
 /// refused early, so that its client can retry in time.
 async fn search_server(
     node: &EntryNode,
-    call: &RoomCall<'_>,
+    call: &ServiceCall<'_>,
     pick: impl Fn(SlotNeed) -> Option<InFlightGuard>,
 ) -> Option<InFlightGuard> {
     let search = Duration::from_millis(call.route.target_latency_ms).mul_f64(SEARCH_FRACTION);
@@ -281,7 +281,7 @@
         is_repeatable,
         ..ServerNeed::default()
     };
-    engine_memory::log_left(node, &id, &need);
+    engine_memory::log_full_engines(node, &id, &need);
     let entry = suspects::choose_server(node, fingerprint, &need)?;
     let config = node.routing().map_or(0, |routing| routing.version);
     let about: [(&str, &dyn std::fmt::Display); 3] =
--- a/crates/trestlerackd/src/entry/request_history.rs
+++ b/crates/trestlerackd/src/entry/request_history.rs
@@ -1,6 +1,6 @@
 //! Tracks the servers that a request was sent to, for its log line and for the usage of its customer.
 
-use super::front::ClientRequest;
+use super::client_requests::ClientRequest;
 use super::node::EntryNode;
 use crate::process::logs;
 use http::StatusCode;
--- a/crates/trestlerackd/src/entry/score_calls.rs
+++ b/crates/trestlerackd/src/entry/score_calls.rs
@@ -1,6 +1,6 @@
 //! Calls to scoring services, which are repeatable.
 
-use super::admission::{self, RoomCall};
+use super::admission::{self, ServiceCall};
 use super::attempt::{self, AttemptError};
 use super::in_flight::InFlightGuard;
 use super::node::EntryNode;
@@ -89,7 +89,7 @@
     let (kind, arrived) = (CallKind::Score, node.now());
     let directory = routing.customers.as_ref();
     let customer = customer.and_then(|name| directory?.get(name));
-    let service_call = RoomCall { id: &call.id, service, route, customer, kind, arrived, deadline };
+    let service_call = ServiceCall { id: &call.id, service, route, customer, kind, arrived, deadline };
     let uses_admission = admission::is_active(node, service);
     let mut attempts = FuturesUnordered::new();
     let mut timers: Vec<ResponseTimer> = Vec::new();
@@ -97,7 +97,7 @@
     let mut hedge_at = None;
     let (mut is_probe, mut is_hedge) = (false, false);
     if uses_admission {
-        admission::note_call(node, &service_call);
+        admission::record_call(node, &service_call);
     }
     loop {
         if attempts.is_empty()
@@ -120,13 +120,13 @@
         if let Some(guard) = guard {
             tried.push(guard.server.instance.clone());
             timers.push(ResponseTimer::start(node));
-            is_probe = hedging::is_trial(node, &guard.server.instance);
+            is_probe = hedging::is_probe(node, &guard.server.instance);
             attempts.push(send_score_call(node, call, route, guard, deadline, priority));
         }
         if is_due {
             is_hedge = false;
             next_at = node.now() + overdue_threshold(node, service, route);
-            hedge_at = hedging::after(node, route, service).map(|delay| node.now() + delay);
+            hedge_at = hedging::hedge_delay(node, route, service).map(|delay| node.now() + delay);
         }
         let wake_at = hedge_at.map_or(next_at, |hedge_at| next_at.min(hedge_at));
         let ended = match attempts.len() {
@@ -146,7 +146,7 @@
             Ok(Some((_, ScoreOutcome::NoResponse))) => next_at = node.now(),
             Err(_) => {
                 is_hedge = hedge_at.take_if(|hedge_at| *hedge_at < next_at).is_some();
-                if is_hedge && hedging::has_place(node, service) {
+                if is_hedge && hedging::has_free_slot(node, service) {
                     next_at = node.now();
                 }
             }
@@ -165,16 +165,16 @@
 /// one is charged to the budget of second attempts unless it `skips_budget`.
 async fn find_slot(
     node: &Arc<EntryNode>,
-    call: &RoomCall<'_>,
+    call: &ServiceCall<'_>,
     is_first: bool,
     skips_budget: bool,
     pick: impl Fn(SlotNeed) -> Option<InFlightGuard>,
 ) -> Option<InFlightGuard> {
     if is_first {
-        return admission::enter(node, call, pick).await.ok();
+        return admission::acquire_slot(node, call, pick).await.ok();
     }
     let guard = pick(SlotNeed::One)?;
-    (skips_budget || admission::may_try_again(node, call, AttemptReason::Hedge)).then_some(guard)
+    (skips_budget || admission::try_spend_attempt(node, call, AttemptReason::Hedge)).then_some(guard)
 }
 
 fn pick_server(
--- a/crates/trestlerackd/src/entry/shares/mod.rs
+++ b/crates/trestlerackd/src/entry/shares/mod.rs
@@ -8,7 +8,7 @@
 
 pub use control::ShareControl;
 
-use super::front::ClientRequest;
+use super::client_requests::ClientRequest;
 use super::node::EntryNode;
 use crate::process::logs;
 use std::sync::Arc;
--- a/crates/trestlerackd/src/entry/status.rs
+++ b/crates/trestlerackd/src/entry/status.rs
@@ -128,9 +128,9 @@
         DUTIES_PATH => serde_json::to_vec(&duties(node)),
         SUSPECTS_PATH => serde_json::to_vec(&suspects(node)),
         SERVERS_PATH => serde_json::to_vec(&servers(node)),
-        ADMISSION_PATH => serde_json::to_vec(&admission::lines(node)),
+        ADMISSION_PATH => serde_json::to_vec(&admission::status(node)),
         FOLLOWER_PATH => serde_json::to_vec(&[follower(node)]),
-        MEMORY_PATH => serde_json::to_vec(&resource_limits::memory_lines(&node.held)),
+        MEMORY_PATH => serde_json::to_vec(&resource_limits::memory_status(&node.resource_limits)),
         _ => return None,
     };
     body.ok()
--- a/crates/trestlerackd/tests/entry/crashes.rs
+++ b/crates/trestlerackd/tests/entry/crashes.rs
@@ -83,7 +83,7 @@
 
 /// Returns whether a response refuses blocked content: its Retry-After is longer than that of an overloaded
 /// service.
-fn is_blocked(answer: &Answer) -> bool {
+fn is_blocked(answer: &HttpResponse) -> bool {
     let retry_after = answer.headers.get("retry-after").and_then(|value| value.parse::<f64>().ok());
     answer.status == 503 && retry_after.is_some_and(|seconds| seconds > 10.0)
 }
