--- a/crates/trestlerackd/src/entry/order_lease.rs
+++ b/crates/trestlerackd/src/entry/order_lease.rs
@@ -1,7 +1,7 @@
 //! Holds the lease on weight orders while it can, and orders engines while it holds it.
 
 use super::node::EntryNode;
-use super::weights::{self, OrderTasks, ServicePlan};
+use super::weight_orders::{self, OrderTasks, ServicePlan};
 use super::{feeds, tables};
 use crate::process::clock;
 use crate::process::logs;
@@ -108,7 +108,7 @@
         }
     }
     if let Some(routing) = node.routing() {
-        weights::order_engines(node, &routing, fence, &mut desk.plans, &mut desk.orders).await;
+        weight_orders::order_engines(node, &routing, fence, &mut desk.plans, &mut desk.orders).await;
     }
 }
 
--- a/crates/trestlerackd/tests/entry/soak/checks.rs
+++ b/crates/trestlerackd/tests/entry/soak/checks.rs
@@ -2,7 +2,7 @@
 
 use super::super::support::*;
 use super::clients::{Findings, NOT_RUN, read_job};
-use super::world::{HANDOVER, World};
+use super::cluster::{HANDOVER, World};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::{HashMap, HashSet};
--- a/crates/trestlerackd/tests/entry/soak/clients.rs
+++ b/crates/trestlerackd/tests/entry/soak/clients.rs
@@ -1,7 +1,7 @@
 //! Clients of the soak, which check what they see against what was promised to them.
 
 use super::super::support::*;
-use super::world::World;
+use super::cluster::World;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use serde_json::Value;
--- a/crates/trestlerackd/tests/entry/soak/fatal.rs
+++ b/crates/trestlerackd/tests/entry/soak/fatal.rs
@@ -2,7 +2,7 @@
 
 use super::super::support::*;
 use super::clients::Findings;
-use super::world::World;
+use super::cluster::World;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use std::sync::Arc;
--- a/crates/trestlerackd/tests/entry/soak/faults.rs
+++ b/crates/trestlerackd/tests/entry/soak/faults.rs
@@ -2,7 +2,7 @@
 
 use super::super::support::{STOP_LIMIT, eventually};
 use super::link::{Link, LinkMode};
-use super::world::{Place, World};
+use super::cluster::{Place, World};
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use std::sync::Arc;
--- a/crates/trestlerackd/tests/entry/soak/mod.rs
+++ b/crates/trestlerackd/tests/entry/soak/mod.rs
@@ -7,19 +7,19 @@
 
 mod checks;
 mod clients;
+mod cluster;
 mod fatal;
 mod faults;
 mod link;
 mod slow;
-mod world;
 
 use clients::Findings;
+use cluster::World;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
-use world::World;
 
 /// Processes of the daemon in one soak.
 const NODES: usize = 4;
--- a/crates/trestlerackd/tests/entry/soak/slow.rs
+++ b/crates/trestlerackd/tests/entry/soak/slow.rs
@@ -2,7 +2,7 @@
 
 use super::super::support::*;
 use super::clients::{Findings, NOT_RUN};
-use super::world::World;
+use super::cluster::World;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use std::io::{BufReader, Write};
