--- a/crates/trestlerackd/src/entry/mod.rs
+++ b/crates/trestlerackd/src/entry/mod.rs
@@ -30,7 +30,7 @@
 mod job_scores;
 mod job_takeover;
 mod job_texts;
-mod lease_book;
+mod lease_cache;
 mod load_gossip;
 mod metrics;
 mod node;
@@ -55,8 +55,8 @@
 mod table_watch;
 mod tables;
 
-mod weight_book;
-mod weights;
+mod weight_orders;
+mod weight_state;
 
 use crate::process::clock;
 use crate::process::logs;
