--- a/crates/trestlerackd/src/entry/adoption.rs
+++ b/crates/trestlerackd/src/entry/adoption.rs
@@ -57,7 +57,7 @@
         let open = open_jobs(&node);
         suspicions.retain(|job, _| open.iter().any(|(id, _)| id == job));
         for (job, view) in open {
-            if is_own(&node, &view.head) {
+            if is_own(&node, &view.record) {
                 drive_assigned(&node, &job).await;
                 continue;
             }
@@ -66,7 +66,7 @@
                 let is_silent = suspicion.strikes >= STRIKES;
                 take_over(&node, &job).await;
                 if is_silent {
-                    unlist(&node, &view.head.owner).await;
+                    unlist(&node, &view.record.owner).await;
                 }
             }
         }
@@ -76,7 +76,7 @@
 fn open_jobs(node: &EntryNode) -> Vec<(Name, JobView)> {
     let drivers = node.drivers.lock().unwrap();
     let jobs = node.jobs.lock().unwrap();
-    let is_open = |id: &Name, view: &JobView| !view.is_ended && !view.head.is_complete() && !drivers.contains_key(id);
+    let is_open = |id: &Name, view: &JobView| !view.is_ended && !view.record.is_complete() && !drivers.contains_key(id);
     jobs.iter().filter(|(id, view)| is_open(id, view)).map(|(id, view)| (id.clone(), view.clone())).collect()
 }
 
@@ -98,15 +98,15 @@
         return false;
     }
     let Ok(spec) = job_calls::load_spec(node, job, &head).await else { return false };
-    node.learn_head(head.clone(), version, job);
+    node.merge_job_record(head.clone(), version, job);
     job_driver::start(node, Arc::new(spec), head, version);
     true
 }
 
 async fn read_head(node: &Arc<EntryNode>, job: &Name) -> Result<(JobRecord, u64, bool), StoreError> {
     let rows = tables::read_all(&node.store, tables::STATE, job).await?;
-    let is_ended = rows.iter().any(|row| &*row.key == tables::END);
-    let row = rows.into_iter().find(|row| &*row.key == tables::HEAD).ok_or(StoreError::Unknown)?;
+    let is_ended = rows.iter().any(|row| &*row.key == tables::JOB_END);
+    let row = rows.into_iter().find(|row| &*row.key == tables::JOB_RECORD).ok_or(StoreError::Unknown)?;
     Ok((tables::decode(&row.value)?, row.version, is_ended))
 }
 
@@ -150,7 +150,7 @@
 
 async fn is_due(node: &Arc<EntryNode>, job: &Name, view: &JobView, suspicion: &mut JobSuspicion) -> bool {
     let now = node.now();
-    let head = &view.head;
+    let head = &view.record;
     if head.owner == node.settings.name {
         return head.incarnation != node.incarnation;
     }
@@ -167,7 +167,7 @@
         return false;
     }
     suspicion.asked_at = now;
-    match node.peers.drives(&head.owner_address, job).await {
+    match node.peers.is_driving(&head.owner_address, job).await {
         Some(true) => {
             suspicion.strikes = 0;
             false
@@ -195,11 +195,11 @@
     let seen = node.job(job).ok_or(StoreError::Unknown)?;
     let (held, version, is_ended) = read_head(node, job).await?;
     if is_ended {
-        node.learn_end(job);
+        node.record_job_end(job);
         return Ok(false);
     }
-    if held.fence != seen.head.fence || held.owner != seen.head.owner {
-        node.learn_head(held, version, job);
+    if held.fence != seen.record.fence || held.owner != seen.record.owner {
+        node.merge_job_record(held, version, job);
         return Ok(false);
     }
     let spec = Arc::new(job_calls::load_spec(node, job, &held).await?);
@@ -211,9 +211,9 @@
         write_id: node.write_id(),
         ..held.clone()
     };
-    let transaction = RowTransaction::new(job.clone()).expect(tables::STATE, tables::HEAD, version).put(
+    let transaction = RowTransaction::new(job.clone()).expect(tables::STATE, tables::JOB_RECORD, version).put(
         tables::STATE,
-        tables::HEAD,
+        tables::JOB_RECORD,
         tables::encode(&head),
     );
     match node.store.call(&StoreCall::Commit(transaction)).await? {
@@ -221,7 +221,7 @@
             let fields: [(&str, &dyn std::fmt::Display); 4] =
                 [("job", job), ("from", &held.owner), ("fence", &head.fence), ("listed", &head.recorded)];
             logs::write(event::JOB_TAKEN, &fields);
-            node.learn_head(head.clone(), moment.version, job);
+            node.merge_job_record(head.clone(), moment.version, job);
             job_driver::start(node, spec, head, moment.version);
             Ok(true)
         }
--- a/crates/trestlerackd/src/entry/attempt.rs
+++ b/crates/trestlerackd/src/entry/attempt.rs
@@ -202,7 +202,7 @@
         Ok(answer) => answer,
         Err(_) => {
             // A server whose answer waits for room here is not to blame.
-            if !node.held.is_pressed() {
+            if !node.resource_limits.is_pressed() {
                 node.board.lock().unwrap().failed(node.now(), &instance);
             }
             Err(AttemptError::MayHaveRun("no whole answer in time".into()))
--- a/crates/trestlerackd/src/entry/attempts.rs
+++ b/crates/trestlerackd/src/entry/attempts.rs
@@ -353,7 +353,7 @@
             Ok(answer) if answer.status.is_server_error() => server_answers::failed(node, &server),
             Ok(_) => {
                 let took = node.now().since(watch.started);
-                node.route_times.lock().unwrap().record(&route.name, took);
+                node.route_latencies.lock().unwrap().record(&route.name, took);
                 plain::note_work(node, route, request, took);
                 server_answers::took(node, &server, &route.name, watch);
             }
--- a/crates/trestlerackd/src/entry/client_links.rs
+++ b/crates/trestlerackd/src/entry/client_links.rs
@@ -49,7 +49,7 @@
             clock::sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        match node.held.admit(node.now()) {
+        match node.resource_limits.admit(node.now()) {
             Admission::Serve(seat) => tokio::spawn(serve_client(node.clone(), seat, stream, LinkService::Serve)),
             Admission::Refuse(seat) => tokio::spawn(serve_client(node.clone(), seat, stream, LinkService::Refuse)),
             Admission::Close => continue,
--- a/crates/trestlerackd/src/entry/duties/calls.rs
+++ b/crates/trestlerackd/src/entry/duties/calls.rs
@@ -33,7 +33,7 @@
 impl DutyCaller {
     /// Builds the caller of a process that starts now.
     pub fn new(node: &EntryNode) -> Self {
-        let handover = node.bounds().order_handover;
+        let handover = node.live_settings().order_handover;
         let settings = DutySettings { call_time: CALL_TIMEOUT, handover };
         Self {
             gate: Mutex::new(DutyGate::new(settings, node.now())),
--- a/crates/trestlerackd/src/entry/duties/usage_count.rs
+++ b/crates/trestlerackd/src/entry/duties/usage_count.rs
@@ -103,7 +103,7 @@
         return true;
     }
     match node.peers.get(holder) {
-        Some(row) => node.peers.tell_usage(&row.address, sender, notes).await.is_some(),
+        Some(row) => node.peers.send_usage(&row.address, sender, notes).await.is_some(),
         None => false,
     }
 }
--- a/crates/trestlerackd/src/entry/duties/usage_report.rs
+++ b/crates/trestlerackd/src/entry/duties/usage_report.rs
@@ -129,7 +129,7 @@
     };
     desk.old_keys = keys.into_iter().filter(|key| is_old(key)).collect();
     let mut newest = None;
-    for (key, content) in tables::join_pieces(rows) {
+    for (key, content) in tables::join_chunks(rows) {
         if let Some(window) = window_of(&key, REPORT_PREFIX) {
             let report: UsageReport = tables::decode(&content)?;
             newest = newest.max(Some(window));
@@ -177,13 +177,13 @@
         let marked = UsageReport { is_sent: true, ..report.clone() };
         transaction = transaction.put(tables::USAGE, &report_key(*window), tables::encode(&marked));
     }
-    for key in desk.old_keys.iter().take(tables::COMMIT_ROWS / 2) {
+    for key in desk.old_keys.iter().take(tables::MAX_COMMIT_ROWS / 2) {
         transaction = transaction.remove(tables::USAGE, key);
     }
     let stored = match node.store.call(&StoreCall::Commit(transaction)).await {
         Ok(StoreReply::Committed(_)) => {
             desk.unmarked.clear();
-            let kept = desk.old_keys.len().min(tables::COMMIT_ROWS / 2);
+            let kept = desk.old_keys.len().min(tables::MAX_COMMIT_ROWS / 2);
             desk.old_keys.drain(..kept);
             Some(report)
         }
@@ -270,7 +270,7 @@
         let content = tables::encode(notes);
         let bytes = node.settings.store_row_bytes;
         let first = transaction.writes.len();
-        transaction = tables::put_pieces(transaction, tables::USAGE, &notes_key(*window), &content, bytes);
+        transaction = tables::put_chunked(transaction, tables::USAGE, &notes_key(*window), &content, bytes);
         let keys = transaction.writes[first..].iter().map(|write| write.key.clone()).collect();
         desk.note_keys.insert(*window, keys);
     }
--- a/crates/trestlerackd/src/entry/feed_relay.rs
+++ b/crates/trestlerackd/src/entry/feed_relay.rs
@@ -216,7 +216,7 @@
 async fn ask(node: &Arc<EntryNode>, peer: &Name, place: Option<FeedPosition>, wait_ms: u64) -> Option<FeedReply> {
     let (name, zone) = (node.settings.name.clone(), node.settings.zone.clone());
     let call = FeedCall { node: name, zone, place, drawn: node.levels.drawn(), wait_ms };
-    node.peers.ask_feed(peer, call, ANSWER_TIME + Duration::from_millis(wait_ms)).await
+    node.peers.read_feed(peer, call, ANSWER_TIME + Duration::from_millis(wait_ms)).await
 }
 
 /// Takes over what a follower tells; the question was sent at `asked_at`.
@@ -238,7 +238,7 @@
     feeds::apply_rows(node, platform::OPERATOR_TABLE, operators);
     feeds::apply_rows(node, tables::STATE, states);
     if is_whole {
-        node.has_state.store(true, Ordering::Relaxed);
+        node.has_read_state.store(true, Ordering::Relaxed);
     }
     match part {
         Some(part) => {
@@ -248,7 +248,7 @@
         None => feeds::apply_rows(node, platform::SERVER_TABLE, servers),
     }
     node.suspects.set_cut_off(is_out);
-    let mut end_news = node.end_news.lock().unwrap();
+    let mut end_news = node.job_end_freshness.lock().unwrap();
     if is_out {
         end_news.record_failure();
     } else {
@@ -260,8 +260,8 @@
     let of_nodes = rows.iter().filter(|row| is_node_partition(&row.partition));
     let registered: Vec<Name> = of_nodes.map(|row| row.key.clone()).collect();
     let own = node.settings.name.clone();
-    if node.registered_at.load(Ordering::Relaxed) <= version && !registered.contains(&own) {
-        node.unlisted.notify_one();
+    if node.registered_version.load(Ordering::Relaxed) <= version && !registered.contains(&own) {
+        node.row_missing.notify_one();
     }
     node.peers.forget_missing(&registered, version);
     let jobs: Vec<Name> = rows.iter().map(|row| row.partition.clone()).collect();
--- a/crates/trestlerackd/src/entry/feeds.rs
+++ b/crates/trestlerackd/src/entry/feeds.rs
@@ -50,7 +50,7 @@
             Ok(version) => {
                 if table == tables::STATE {
                     node.suspects.set_cut_off(false);
-                    node.end_news.lock().unwrap().record_answer(asked_at);
+                    node.job_end_freshness.lock().unwrap().record_answer(asked_at);
                 }
                 node.registry.lock().unwrap().store_regained(node.now());
                 if version.is_none() {
@@ -64,7 +64,7 @@
             Err(error) => {
                 if table == tables::STATE {
                     node.suspects.set_cut_off(true);
-                    node.end_news.lock().unwrap().record_failure();
+                    node.job_end_freshness.lock().unwrap().record_failure();
                 }
                 node.levels.failed();
                 // A store that refuses for a rate is there, and entries do not lapse by that.
@@ -72,7 +72,7 @@
                     node.registry.lock().unwrap().store_lost();
                 }
                 failures += 1;
-                node.store.pause_after(error, failures, failure_backoff(failures, rand::random())).await;
+                node.store.wait_before_retry(error, failures, failure_backoff(failures, rand::random())).await;
             }
         }
     }
@@ -140,10 +140,10 @@
             node.peers.forget_missing(&registered, version);
             let was_registered = node.is_registered.load(Ordering::Relaxed);
             if was_registered && !registered.contains(&node.settings.name) {
-                node.unlisted.notify_one();
+                node.row_missing.notify_one();
             }
             apply_rows(node, table, all);
-            node.has_state.store(true, Ordering::Relaxed);
+            node.has_read_state.store(true, Ordering::Relaxed);
         }
         _ => {
             feed_relay::pass_on_whole(node, table, &all);
@@ -156,7 +156,7 @@
 /// Returns whether a partition is that of a job whose rows do not change any more, as far as this
 /// node knows. Ended jobs stay for a while, and reading all of them again would take seconds.
 fn is_over(node: &EntryNode, partition: &str) -> bool {
-    node.job(partition).is_some_and(|view| view.is_ended || view.head.is_complete())
+    node.job(partition).is_some_and(|view| view.is_ended || view.record.is_complete())
 }
 
 async fn list_partitions(node: &Arc<EntryNode>, table: &str) -> Result<(Vec<Name>, u64), StoreError> {
@@ -205,7 +205,7 @@
             }
         }
         Ok(platform::OperatorRow::Weights { model, version }) => {
-            if node.weights.name_version(&model, version) {
+            if node.weights.record_published_version(&model, version) {
                 logs::write(event::WEIGHTS_TARGETED, &[("model", &model), ("version", &version)]);
             }
         }
@@ -243,14 +243,14 @@
     let peer = if row.removed { None } else { Some(tables::decode(&row.value)?) };
     node.peers.put(&row.key, row.version, peer);
     if row.removed && row.key == node.settings.name {
-        node.unlisted.notify_one();
+        node.row_missing.notify_one();
     }
     Ok(())
 }
 
 fn apply_engine_row(node: &Arc<EntryNode>, row: &StoredRow) -> Result<(), StoreError> {
     if row.removed {
-        node.weights.assign(&row.key, None);
+        node.weights.set_assignment(&row.key, None);
         node.board.lock().unwrap().assign(&row.key, None);
         return Ok(());
     }
@@ -267,20 +267,20 @@
         let until = node.now() + Duration::from_millis(assignment.load_ms).saturating_sub(age);
         node.board.lock().unwrap().loading(instance, &assignment.model, assignment.version, until);
     }
-    node.weights.assign(instance, Some(assignment));
+    node.weights.set_assignment(instance, Some(assignment));
 }
 
 fn apply_lease_row(node: &Arc<EntryNode>, row: &StoredRow) -> Result<(), StoreError> {
     let lease = if row.removed { None } else { Some(tables::decode(&row.value)?) };
-    node.lease.learn_row(row.version, lease);
+    node.lease.merge_row(row.version, lease);
     Ok(())
 }
 
 fn apply_job_row(node: &Arc<EntryNode>, row: &StoredRow) -> Result<(), StoreError> {
     match (&*row.key, row.removed) {
-        (tables::HEAD, false) => node.learn_head(tables::decode(&row.value)?, row.version, &row.partition),
-        (tables::END, false) => node.learn_end(&row.partition),
-        (tables::HEAD, true) => node.forget_job(&row.partition),
+        (tables::JOB_RECORD, false) => node.merge_job_record(tables::decode(&row.value)?, row.version, &row.partition),
+        (tables::JOB_END, false) => node.record_job_end(&row.partition),
+        (tables::JOB_RECORD, true) => node.forget_job(&row.partition),
         _ => {}
     }
     Ok(())
--- a/crates/trestlerackd/src/entry/front.rs
+++ b/crates/trestlerackd/src/entry/front.rs
@@ -114,7 +114,7 @@
         head,
         caller: CallerVerdict::Unknown,
         body: Bytes::new(),
-        held: node.held.ledger.reserve(MemoryPurpose::Bodies, 0),
+        held: node.resource_limits.ledger.reserve(MemoryPurpose::Bodies, 0),
     };
     if let Err(refusal) = take_body(node, &routing, &mut request, body).await {
         return refusal;
--- a/crates/trestlerackd/src/entry/held/answers.rs
+++ b/crates/trestlerackd/src/entry/held/answers.rs
@@ -23,7 +23,7 @@
     mut body: Incoming,
     most: usize,
 ) -> Option<(Bytes, MemoryReservation)> {
-    let mut held = node.held.ledger.reserve(MemoryPurpose::Responses, 0);
+    let mut held = node.resource_limits.ledger.reserve(MemoryPurpose::Responses, 0);
     let stated = body.size_hint().exact().map_or(0, |length| usize::try_from(length).unwrap_or(usize::MAX));
     if stated > most {
         return None;
@@ -51,20 +51,20 @@
         Err(ReserveError::Exhausted) => tell_wait(node, request, more),
     }
     // One answer at a time looks for room, so that hundreds that wait cost no more than one.
-    let _turn = node.held.turn.lock().await;
+    let _turn = node.resource_limits.turn.lock().await;
     while let Err(refusal) = held.try_grow(more) {
         if refusal == ReserveError::TooLarge {
             return None;
         }
-        node.held.cut_reader(node.now());
+        node.resource_limits.cut_reader(node.now());
         clock::sleep(ROOM_INTERVAL).await;
     }
     Some(())
 }
 
 fn tell_wait(node: &EntryNode, request: &str, bytes: usize) {
-    let (held, bound) = (node.held.ledger.total(), node.held.ledger.limits().total);
+    let (held, bound) = (node.resource_limits.ledger.total(), node.resource_limits.ledger.limits().total);
     let fields: [(&str, &dyn Display); 4] =
         [("request", &request), ("bytes", &bytes), ("held", &held), ("bound", &bound)];
-    node.held.note(node.now(), HeldDecision::AnswerWaits, &fields);
+    node.resource_limits.note(node.now(), HeldDecision::AnswerWaits, &fields);
 }
--- a/crates/trestlerackd/src/entry/held/body_reader.rs
+++ b/crates/trestlerackd/src/entry/held/body_reader.rs
@@ -56,7 +56,7 @@
     most: usize,
     limit: Duration,
 ) -> Result<(Bytes, MemoryReservation), BodyRefusal> {
-    let desk = &*node.held;
+    let desk = &*node.resource_limits;
     let held = desk.ledger.reserve(MemoryPurpose::Bodies, 0);
     if body.is_end_stream() {
         return Ok((Bytes::new(), held));
--- a/crates/trestlerackd/src/entry/held/reply.rs
+++ b/crates/trestlerackd/src/entry/held/reply.rs
@@ -46,7 +46,7 @@
         let counted = reply.extensions_mut().remove::<AnswerBytes>().and_then(|bytes| bytes.take());
         reply.map(|inner| {
             let length = inner.size_hint().exact().and_then(|length| usize::try_from(length).ok());
-            let held = counted.or_else(|| Some(node.held.ledger.reserve(MemoryPurpose::Responses, length?)));
+            let held = counted.or_else(|| Some(node.resource_limits.ledger.reserve(MemoryPurpose::Responses, length?)));
             link.set_reply_bytes(held.as_ref().map_or(0, MemoryReservation::bytes));
             Self { inner, rest: Bytes::new(), held, node: node.clone(), link: link.clone() }.boxed_unsync()
         })
--- a/crates/trestlerackd/src/entry/held/watched_stream.rs
+++ b/crates/trestlerackd/src/entry/held/watched_stream.rs
@@ -34,7 +34,7 @@
                 self.wrote(bytes);
                 written
             }
-            Poll::Pending if self.node.held.is_bounded() => self.wait(context),
+            Poll::Pending if self.node.resource_limits.is_bounded() => self.wait(context),
             _ => written,
         }
     }
@@ -58,7 +58,7 @@
         }
         let (why, held, pause_ms) = ("too slow", self.link.reply_bytes(), pace.pause(now).as_millis());
         let fields: [(&str, &dyn std::fmt::Display); 3] = [("why", &why), ("held", &held), ("pause_ms", &pause_ms)];
-        self.node.held.note(now, HeldDecision::ReaderCut, &fields);
+        self.node.resource_limits.note(now, HeldDecision::ReaderCut, &fields);
         Poll::Ready(Err(Error::new(ErrorKind::TimedOut, "the client reads too slowly")))
     }
 }
--- a/crates/trestlerackd/src/entry/job_accept.rs
+++ b/crates/trestlerackd/src/entry/job_accept.rs
@@ -80,10 +80,10 @@
 /// Stores a job and starts to drive it. Returns the version of its head row.
 async fn accept(node: &Arc<EntryNode>, spec: &Arc<JobSpec>, customer: Option<&Name>) -> Result<u64, Refusal> {
     if let Some(view) = node.job(&spec.id) {
-        return known_job(&view.head, view.version, spec, customer);
+        return known_job(&view.record, view.version, spec, customer);
     }
     let content = tables::encode(&**spec);
-    let mut held = node.held.ledger.reserve(MemoryPurpose::Texts, spec.bytes() + content.len());
+    let mut held = node.resource_limits.ledger.reserve(MemoryPurpose::Texts, spec.bytes() + content.len());
     if let Some(customer) = customer {
         held.set_customer(customer);
     }
@@ -93,14 +93,19 @@
     }
     let spec_rows = if in_rows { content.len().div_ceil(node.settings.store_row_bytes).max(1) } else { 0 };
     let head = JobRecord { customer: customer.cloned(), ..new_head(node, spec, spec_rows) };
-    let mut transaction = RowTransaction::new(spec.id.clone()).expect(tables::STATE, tables::HEAD, 0).put(
+    let mut transaction = RowTransaction::new(spec.id.clone()).expect(tables::STATE, tables::JOB_RECORD, 0).put(
         tables::STATE,
-        tables::HEAD,
+        tables::JOB_RECORD,
         tables::encode(&head),
     );
     if in_rows {
-        transaction =
-            tables::put_pieces(transaction, tables::SPECS, tables::HEAD, &content, node.settings.store_row_bytes);
+        transaction = tables::put_chunked(
+            transaction,
+            tables::SPECS,
+            tables::JOB_RECORD,
+            &content,
+            node.settings.store_row_bytes,
+        );
     }
     let call = StoreCall::Commit(transaction);
     let until = node.now() + SETTLE_TIME;
@@ -119,7 +124,7 @@
         if node.now() >= until {
             break;
         }
-        node.store.pause_after(error, failures, SETTLE_PAUSE).await;
+        node.store.wait_before_retry(error, failures, SETTLE_PAUSE).await;
     }
     Err(if may_be_stored { Refusal::Unknown } else { Refusal::NotAccepted })
 }
@@ -137,7 +142,7 @@
     own: &JobRecord,
     rows: Vec<trestlerack::rows::StoredRow>,
 ) -> Result<u64, Refusal> {
-    let Some(row) = rows.into_iter().find(|row| &*row.key == tables::HEAD) else { return Err(Refusal::Unknown) };
+    let Some(row) = rows.into_iter().find(|row| &*row.key == tables::JOB_RECORD) else { return Err(Refusal::Unknown) };
     let head: JobRecord = tables::decode(&row.value).map_err(|_| Refusal::Unknown)?;
     let outcome = known_job(&head, row.version, spec, own.customer.as_ref());
     if head.write_id == own.write_id {
@@ -148,7 +153,7 @@
 
 /// Has a job that was just stored driven by the node that its head names.
 fn start_accepted(node: &Arc<EntryNode>, spec: &Arc<JobSpec>, head: JobRecord, version: u64) {
-    node.learn_head(head.clone(), version, &spec.id);
+    node.merge_job_record(head.clone(), version, &spec.id);
     if head.owner == node.settings.name {
         job_driver::start(node, spec.clone(), head, version);
     } else {
@@ -161,7 +166,7 @@
     let mut newest: Option<(u64, Name)> = None;
     let mut driven: BTreeMap<Name, BTreeSet<Option<Name>>> = BTreeMap::new();
     for view in node.jobs.lock().unwrap().values() {
-        let head = &view.head;
+        let head = &view.record;
         if head.model == spec.model && head.host == spec.host {
             newest = newest.max(Some((head.accepted_ms, head.owner.clone())));
         } else if !view.is_ended && !head.is_complete() {
--- a/crates/trestlerackd/src/entry/job_calls.rs
+++ b/crates/trestlerackd/src/entry/job_calls.rs
@@ -43,7 +43,7 @@
 /// unknown.
 async fn find_own_job(node: &Arc<EntryNode>, job: &Name, request: &ClientRequest) -> Result<JobView, JobDoubt> {
     let view = find_job(node, job).await?;
-    if request.caller.may_see(view.head.customer.as_ref()) { Ok(view) } else { Err(JobDoubt::Missing) }
+    if request.caller.may_see(view.record.customer.as_ref()) { Ok(view) } else { Err(JobDoubt::Missing) }
 }
 
 /// Finds a job, in the store if this node does not know it.
@@ -57,11 +57,11 @@
 /// Reads a job's head and end from the store.
 async fn read_job(node: &Arc<EntryNode>, job: &Name) -> Result<JobView, JobDoubt> {
     let rows = tables::read_all(&node.store, tables::STATE, job).await.map_err(|_| JobDoubt::Unsure)?;
-    let is_ended = rows.iter().any(|row| &*row.key == tables::END);
-    let head = rows.into_iter().find(|row| &*row.key == tables::HEAD).ok_or(JobDoubt::Missing)?;
-    node.learn_head(tables::decode(&head.value).map_err(|_| JobDoubt::Unsure)?, head.version, job);
+    let is_ended = rows.iter().any(|row| &*row.key == tables::JOB_END);
+    let head = rows.into_iter().find(|row| &*row.key == tables::JOB_RECORD).ok_or(JobDoubt::Missing)?;
+    node.merge_job_record(tables::decode(&head.value).map_err(|_| JobDoubt::Unsure)?, head.version, job);
     if is_ended {
-        node.learn_end(job);
+        node.record_job_end(job);
     }
     node.job(job).ok_or(JobDoubt::Unsure)
 }
@@ -95,7 +95,7 @@
         Ok(view) => view,
         Err(doubt) => return doubt_reply(&doubt, request, job),
     };
-    let results = if view.head.recorded > from {
+    let results = if view.record.recorded > from {
         match load_results(node, job, from).await {
             Ok(results) => results,
             Err(_) => return doubt_reply(&JobDoubt::Unsure, request, job),
@@ -103,10 +103,10 @@
     } else {
         Vec::new()
     };
-    if view.head.recorded > from && results.is_empty() {
+    if view.record.recorded > from && results.is_empty() {
         return doubt_reply(&JobDoubt::Unsure, request, job);
     }
-    let page = platform::JobRead { total: view.head.total, from, results };
+    let page = platform::JobRead { total: view.record.total, from, results };
     match platform::encode_page(&page) {
         Ok(body) => json_reply(body, request),
         Err(error) => {
@@ -128,12 +128,12 @@
     from: usize,
     deadline: Timestamp,
 ) -> Result<JobView, JobDoubt> {
-    let mut news = node.job_news.subscribe();
+    let mut news = node.job_changes.subscribe();
     loop {
         let view = find_job(node, job).await?;
-        let has_more = view.head.recorded > from;
+        let has_more = view.record.recorded > from;
         let now = node.now();
-        if has_more || view.head.is_complete() {
+        if has_more || view.record.is_complete() {
             return Ok(view);
         }
         if view.is_ended {
@@ -166,7 +166,7 @@
 /// Reads recorded results from a position on, up to a page.
 pub async fn load_results(node: &Arc<EntryNode>, job: &str, from: usize) -> Result<Vec<JobResult>, StoreError> {
     let (rows, more) = tables::read_page(&node.store, tables::RESULTS, job, &result_key(from)).await?;
-    let mut joined = tables::join_pieces(rows);
+    let mut joined = tables::join_chunks(rows);
     if more && joined.len() > 1 {
         // The last result may have pieces on the next page.
         joined.pop();
@@ -192,7 +192,7 @@
     let driven = node.drivers.lock().unwrap().get(job).map(|driver| driver.spec.clone());
     let spec = match driven {
         Some(spec) => spec,
-        None => match load_spec(node, job, &view.head).await {
+        None => match load_spec(node, job, &view.record).await {
             Ok(spec) => Arc::new(spec),
             Err(_) => return doubt_reply(&JobDoubt::Unsure, request, job),
         },
@@ -218,7 +218,7 @@
         };
     }
     let rows = tables::read_all(&node.store, tables::SPECS, job).await?;
-    let joined = tables::join_pieces(rows);
+    let joined = tables::join_chunks(rows);
     let (_, content) = joined.into_iter().next().ok_or(StoreError::Unknown)?;
     tables::decode(&content)
 }
@@ -232,14 +232,17 @@
     };
     if !view.is_ended {
         let transaction =
-            RowTransaction::new(job.clone()).put(tables::STATE, tables::END, tables::encode(&node.settings.name));
+            RowTransaction::new(job.clone()).put(tables::STATE, tables::JOB_END, tables::encode(&node.settings.name));
         if !settle_write(node, transaction).await {
             logs::write(event::JOB_READ_FAILED, &[("job", job), ("why", &"the end cannot be stored")]);
             return own_reply(StatusCode::BAD_GATEWAY, id);
         }
-        logs::write(event::JOB_ENDED, &[("job", job), ("listed", &view.head.recorded), ("total", &view.head.total)]);
-        node.learn_end(job);
-        tokio::spawn(tell_owner(node.clone(), job.clone(), view.head.owner_address.clone()));
+        logs::write(
+            event::JOB_ENDED,
+            &[("job", job), ("listed", &view.record.recorded), ("total", &view.record.total)],
+        );
+        node.record_job_end(job);
+        tokio::spawn(tell_owner(node.clone(), job.clone(), view.record.owner_address.clone()));
     }
     own_reply(StatusCode::OK, id)
 }
@@ -249,7 +252,7 @@
     if owner.is_empty() || owner == node.settings.peer_listen {
         return;
     }
-    if node.peers.end(&owner, &job).await.is_none() {
+    if node.peers.announce_job_end(&owner, &job).await.is_none() {
         logs::write(event::END_UNTOLD, &[("job", &job), ("owner", &owner), ("why", &"it does not answer")]);
     }
 }
@@ -267,7 +270,7 @@
         if node.now() >= until {
             break;
         }
-        node.store.pause_after(error, failures, SETTLE_PAUSE).await;
+        node.store.wait_before_retry(error, failures, SETTLE_PAUSE).await;
     }
     false
 }
--- a/crates/trestlerackd/src/entry/job_driver.rs
+++ b/crates/trestlerackd/src/entry/job_driver.rs
@@ -210,7 +210,7 @@
     let node = node.clone();
     let ledger = JobTracker::new(spec.clone(), TrackerSettings::default(), Vec::new(), HashMap::new());
     // What was accepted is kept in any case, and counted so that others make room for it.
-    let mut memory = node.held.ledger.reserve(MemoryPurpose::Texts, spec.bytes());
+    let mut memory = node.resource_limits.ledger.reserve(MemoryPurpose::Texts, spec.bytes());
     if let Some(customer) = &head.customer {
         memory.set_customer(customer);
     }
@@ -271,7 +271,7 @@
             told_at = node.now();
             tell_progress(node, driver);
         }
-        if node.held.is_bounded() {
+        if node.resource_limits.is_bounded() {
             driver.count_memory();
         }
         if let Some(routing) = node.routing() {
--- a/crates/trestlerackd/src/entry/job_records.rs
+++ b/crates/trestlerackd/src/entry/job_records.rs
@@ -23,7 +23,8 @@
     mut version: u64,
 ) -> Option<(JobRecord, u64)> {
     loop {
-        let batch = driver.ledger.lock().unwrap().take_results(tables::COMMIT_ROWS / 2, tables::COMMIT_BYTES / 2);
+        let batch =
+            driver.ledger.lock().unwrap().take_results(tables::MAX_COMMIT_ROWS / 2, tables::MAX_COMMIT_BYTES / 2);
         if batch.is_empty() {
             let is_over = !driver.is_driving() || driver.ledger.lock().unwrap().is_complete();
             if is_over {
@@ -48,7 +49,7 @@
         batch.iter().for_each(|result| ledger.mark_recorded(&result.id));
         drop(ledger);
         node.metrics.results(batch.len());
-        node.learn_head(head.clone(), version, &driver.spec.id);
+        node.merge_job_record(head.clone(), version, &driver.spec.id);
         driver.wake.notify_one();
     }
 }
@@ -61,15 +62,15 @@
     batch: &[JobResult],
     next: &JobRecord,
 ) -> RowTransaction {
-    let mut transaction = RowTransaction::new(job.clone()).expect(tables::STATE, tables::HEAD, version).put(
+    let mut transaction = RowTransaction::new(job.clone()).expect(tables::STATE, tables::JOB_RECORD, version).put(
         tables::STATE,
-        tables::HEAD,
+        tables::JOB_RECORD,
         tables::encode(next),
     );
     for (offset, result) in batch.iter().enumerate() {
         let content = tables::encode(result);
         let key = result_key(head.recorded + offset);
-        transaction = tables::put_pieces(transaction, tables::RESULTS, &key, &content, node.settings.store_row_bytes);
+        transaction = tables::put_chunked(transaction, tables::RESULTS, &key, &content, node.settings.store_row_bytes);
     }
     transaction
 }
@@ -87,7 +88,7 @@
         let error = match node.store.call(&call).await {
             Ok(StoreReply::Committed(moment)) => return Some(moment.version),
             Ok(StoreReply::Conflict(rows)) => {
-                let row = rows.into_iter().find(|row| &*row.key == tables::HEAD)?;
+                let row = rows.into_iter().find(|row| &*row.key == tables::JOB_RECORD)?;
                 let held: JobRecord = tables::decode(&row.value).ok()?;
                 // An earlier try of the same write may have been applied without its reply.
                 return (held.write_id == next.write_id).then_some(row.version);
@@ -98,7 +99,7 @@
         if driver.is_lost() {
             return None;
         }
-        node.store.pause_after(error, failures, WRITE_PAUSE).await;
+        node.store.wait_before_retry(error, failures, WRITE_PAUSE).await;
     }
     None
 }
--- a/crates/trestlerackd/src/entry/job_runs.rs
+++ b/crates/trestlerackd/src/entry/job_runs.rs
@@ -50,7 +50,7 @@
 
 fn place_job_items(node: &Arc<EntryNode>, driver: &Arc<JobDriver>, route: &RequestRoute) {
     let now = node.now();
-    let mut left = node.held.runs_left(now, || runs_of_node(node));
+    let mut left = node.resource_limits.runs_left(now, || runs_of_node(node));
     let mut ledger = driver.ledger.lock().unwrap();
     let waiting: Vec<usize> = ledger.waiting(now).collect();
     if waiting.is_empty() {
--- a/crates/trestlerackd/src/entry/job_texts.rs
+++ b/crates/trestlerackd/src/entry/job_texts.rs
@@ -46,9 +46,9 @@
     }
     let mut kept: HashMap<Name, ItemCheckpoint> = HashMap::new();
     for job in earlier_jobs(node, spec, head) {
-        let first = if job == spec.id { tables::KEPT_LOG } else { tables::KEPT_END };
+        let first = if job == spec.id { tables::CHECKPOINT_LOG } else { tables::FINAL_CHECKPOINT };
         // Kept texts only save time, so a job starts without them rather than late.
-        match tables::read_from(&node.store, tables::KEPT, &job, first).await {
+        match tables::read_from(&node.store, tables::CHECKPOINTS, &job, first).await {
             Ok(rows) => merge_kept(&mut kept, rows, spec.min_version),
             Err(error) => logs::write(event::TEXTS_LOST, &[("job", &job), ("why", &error)]),
         }
@@ -65,14 +65,14 @@
     let jobs = node.jobs.lock().unwrap();
     // The texts of one customer never go into a result of another one, whatever its items are called.
     let is_related = |id: &Name, view: &&JobView| {
-        let held = &view.head;
+        let held = &view.record;
         let is_same = held.model == spec.model && held.host == spec.host && held.customer == head.customer;
         view.is_ended && *id != spec.id && is_same
     };
     let mut related: Vec<(u64, Name)> = jobs
         .iter()
         .filter(|(id, view)| is_related(id, view))
-        .map(|(id, view)| (view.head.accepted_ms, id.clone()))
+        .map(|(id, view)| (view.record.accepted_ms, id.clone()))
         .collect();
     related.sort_by(|left, right| right.cmp(left));
     related.truncate(KEPT_JOBS);
@@ -83,8 +83,8 @@
 /// Adds kept texts, the longest of each item; rows of several owners of one job may lie there.
 fn merge_kept(kept: &mut HashMap<Name, ItemCheckpoint>, rows: Vec<StoredRow>, min_version: WeightVersion) {
     let mut logged: HashMap<Name, ItemTranscript> = HashMap::new();
-    for (key, content) in tables::join_pieces(rows) {
-        let merged = if key.starts_with(tables::KEPT_LOG) {
+    for (key, content) in tables::join_chunks(rows) {
+        let merged = if key.starts_with(tables::CHECKPOINT_LOG) {
             tables::decode(&content).map(|deltas| join_deltas(&mut logged, deltas))
         } else {
             let items = tables::decode::<Vec<ItemCheckpoint>>(&content);
@@ -129,20 +129,21 @@
 pub async fn log_texts(node: Arc<EntryNode>, driver: Arc<JobDriver>, fence: u64) {
     for number in 0.. {
         clock::sleep(TEXT_LOG_INTERVAL).await;
-        let deltas = driver.ledger.lock().unwrap().take_unstored(TEXT_LOG_EVENTS, tables::COMMIT_BYTES / 2);
+        let deltas = driver.ledger.lock().unwrap().take_unstored(TEXT_LOG_EVENTS, tables::MAX_COMMIT_BYTES / 2);
         if deltas.is_empty() {
             continue;
         }
-        let key = format!("{}-{fence:04}-{number:06}", tables::KEPT_LOG);
+        let key = format!("{}-{fence:04}-{number:06}", tables::CHECKPOINT_LOG);
         let transaction = RowTransaction::new(driver.spec.id.clone());
         let content = tables::encode(&deltas);
-        let transaction = tables::put_pieces(transaction, tables::KEPT, &key, &content, node.settings.store_row_bytes);
+        let transaction =
+            tables::put_chunked(transaction, tables::CHECKPOINTS, &key, &content, node.settings.store_row_bytes);
         let call = StoreCall::Commit(transaction);
         // Later deltas go on where this one ends, so it is written before them, however long it takes.
         let mut failures = 0;
         while let Err(error) = node.store.call(&call).await {
             failures += 1;
-            node.store.pause_after(error, failures, WRITE_PAUSE).await;
+            node.store.wait_before_retry(error, failures, WRITE_PAUSE).await;
         }
     }
 }
@@ -153,10 +154,11 @@
     let job = &driver.spec.id;
     let count = kept.len();
     for (piece, batch) in in_batches(kept).into_iter().enumerate() {
-        let key = format!("{}-{:04}-{piece:04}", tables::KEPT_END, head.fence);
+        let key = format!("{}-{:04}-{piece:04}", tables::FINAL_CHECKPOINT, head.fence);
         let content: Bytes = tables::encode(&batch);
         let transaction = RowTransaction::new(job.clone());
-        let transaction = tables::put_pieces(transaction, tables::KEPT, &key, &content, node.settings.store_row_bytes);
+        let transaction =
+            tables::put_chunked(transaction, tables::CHECKPOINTS, &key, &content, node.settings.store_row_bytes);
         if let Err(error) = node.store.call(&StoreCall::Commit(transaction)).await {
             logs::write(event::TEXTS_LOST, &[("job", job), ("why", &error)]);
         }
@@ -164,9 +166,9 @@
     logs::write(event::TEXTS_KEPT, &[("job", job), ("items", &count)]);
     if driver.is_handed_over() {
         let next = JobRecord { owner: "".into(), write_id: node.write_id(), ..head };
-        let transaction = RowTransaction::new(job.clone()).expect(tables::STATE, tables::HEAD, version).put(
+        let transaction = RowTransaction::new(job.clone()).expect(tables::STATE, tables::JOB_RECORD, version).put(
             tables::STATE,
-            tables::HEAD,
+            tables::JOB_RECORD,
             tables::encode(&next),
         );
         // A peer that notices this node's silence takes the job too, only later.
@@ -180,7 +182,7 @@
     for item in kept {
         bytes += item.transcript.text.len();
         batch.push(item);
-        if bytes > tables::COMMIT_BYTES / 2 {
+        if bytes > tables::MAX_COMMIT_BYTES / 2 {
             batches.push(std::mem::take(&mut batch));
             bytes = 0;
         }
--- a/crates/trestlerackd/src/entry/levels.rs
+++ b/crates/trestlerackd/src/entry/levels.rs
@@ -320,7 +320,7 @@
         tables::LEASES => row.removed || held.is_none_or(|held| !is_same_lease(row, held)),
         tables::SUSPECTS => true,
         partition if is_node_partition(partition) => true,
-        _ if &*row.key == tables::HEAD => row.removed || held.is_none_or(|held| !is_same_owner(row, held)),
+        _ if &*row.key == tables::JOB_RECORD => row.removed || held.is_none_or(|held| !is_same_owner(row, held)),
         _ => true,
     }
 }
--- a/crates/trestlerackd/src/entry/metrics.rs
+++ b/crates/trestlerackd/src/entry/metrics.rs
@@ -133,7 +133,7 @@
     page.extend_from_slice(engine_memory::metrics_lines(node).as_bytes());
     server_gauges(node, &mut page);
     let mut lines = format!("trestlerack_entry_connections_opened {}\n", node.pool.opened());
-    held::write_metrics(&node.held, &mut lines);
+    held::write_metrics(&node.resource_limits, &mut lines);
     page.extend_from_slice(lines.as_bytes());
     page
 }
--- a/crates/trestlerackd/src/entry/mod.rs
+++ b/crates/trestlerackd/src/entry/mod.rs
@@ -1,7 +1,7 @@
 //! The entry service: trestlerack on the users' platform.
 //!
-//! All nodes are alike. Each serves clients, drives the batch jobs that it accepted or took over,
-//! relays store calls for peers, and may hold the lease on weight orders. What has to last is in
+//! All nodes have the same role. Each serves clients, drives the batch jobs that it accepted or took
+//! over, relays store calls for peers, and may hold the lease on weight orders. Durable state is in
 //! the platform's store; see [docs/PLATFORM.md](../../../../docs/PLATFORM.md).
 
 mod adoption;
@@ -60,7 +60,7 @@
 use crate::process::clock;
 use crate::process::logs;
 use anyhow::Context;
-use node::{EntryBounds, EntryNode};
+use node::{EntryNode, LiveSettings};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -71,10 +71,14 @@
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall, StoreReply};
 use trestlerack_platform as platform;
 
-/// Interval at which idle connections are looked through.
-const EXPIRE_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between two searches for idle connections to close.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Serves until a signal asks for a planned stop, and then stops as planned.
+/// Serves until SIGTERM or SIGINT, then stops gracefully.
+///
+/// # Errors
+///
+/// Fails if an address cannot be bound, or if signal handlers, metrics or tracing cannot be set up.
 pub async fn run(settings: EntrySettings, settings_file: String) -> anyhow::Result<()> {
     let clients = bind(&settings.client_listen).await?;
     let readiness = bind(&settings.ready_listen).await?;
@@ -96,13 +100,13 @@
         tokio::spawn(feeds::follow(node.clone(), table));
     }
     tokio::spawn(feed_relay::keep_level(node.clone()));
-    tokio::spawn(note_suspensions(node.clone()));
+    tokio::spawn(log_suspensions(node.clone()));
     tokio::spawn(keep_registered(node.clone()));
     tokio::spawn(probe_store(node.clone()));
     tokio::spawn(adoption::watch_owners(node.clone()));
     tokio::spawn(order_lease::run(node.clone()));
     duties::start(&node);
-    tokio::spawn(expire_connections(node.clone()));
+    tokio::spawn(close_idle_connections(node.clone()));
     tokio::spawn(retention::sweep(node.clone()));
     tokio::spawn(suspects::read_at_start(node.clone()));
     tokio::spawn(suspects::store_strikes(node.clone()));
@@ -122,8 +126,9 @@
     Ok(())
 }
 
-/// Logs each time for which the VM was suspended. What peers and the store told meanwhile was missed.
-async fn note_suspensions(node: Arc<EntryNode>) {
+/// Logs each suspension of the VM, and marks the watch of the state table as cut off until it delivers again,
+/// because messages of peers and the store were missed meanwhile.
+async fn log_suspensions(node: Arc<EntryNode>) {
     let resumed = |suspended: Duration| {
         logs::write_suspension(suspended);
         node.suspects.set_cut_off(true);
@@ -135,19 +140,19 @@
     TcpListener::bind(address).await.with_context(|| format!("cannot listen on {address}"))
 }
 
-/// Keeps the row by which peers find this node in the store. A peer that could not reach this node
-/// may have removed it.
+/// Keeps this node's registration row in the store. A peer that could not reach this node may have
+/// removed the row.
 async fn keep_registered(node: Arc<EntryNode>) {
     loop {
         register(&node).await;
-        node.unlisted.notified().await;
+        node.row_missing.notified().await;
         if node.is_stopping() {
             return;
         }
     }
 }
 
-/// Writes the row by which peers find this node, until the store has it.
+/// Writes this node's registration row, and retries until the store has it.
 async fn register(node: &Arc<EntryNode>) {
     let row = tables::encode(&node.node_row());
     let partition = node_partition(&node.settings.name);
@@ -156,14 +161,14 @@
     let mut failures = 0;
     loop {
         match node.store.call(&call).await {
-            Ok(StoreReply::Committed(moment)) => {
-                node.registered_at.store(moment.version, Ordering::Relaxed);
+            Ok(StoreReply::Committed(commit)) => {
+                node.registered_version.store(commit.version, Ordering::Relaxed);
                 break;
             }
             Ok(_) => break,
             Err(error) => {
                 failures += 1;
-                node.store.pause_after(error, failures, failure_backoff(failures, rand::random())).await;
+                node.store.wait_before_retry(error, failures, failure_backoff(failures, rand::random())).await;
             }
         }
     }
@@ -174,20 +179,20 @@
     node.store.probe_direct().await;
 }
 
-async fn expire_connections(node: Arc<EntryNode>) {
+async fn close_idle_connections(node: Arc<EntryNode>) {
     loop {
-        clock::sleep(EXPIRE_INTERVAL).await;
+        clock::sleep(IDLE_CHECK_INTERVAL).await;
         node.pool.expire();
     }
 }
 
-/// Reads the settings file again when told that it has changed: seeds and bounds take effect at
-/// once, and the log says where a restart is needed.
+/// Reads the settings file again on SIGHUP. Seeds and live settings take effect immediately, and the
+/// log says whether other changes need a restart.
 async fn reload(node: Arc<EntryNode>, mut hangup: tokio::signal::unix::Signal, file: String) {
     while hangup.recv().await.is_some() {
         match crate::read_entry_settings(&file) {
             Ok(settings) => {
-                *node.bounds.write().unwrap() = EntryBounds::from(&settings);
+                *node.live_settings.write().unwrap() = LiveSettings::from(&settings);
                 node.peers.set_seeds(settings.seeds.clone());
                 let needs_restart = needs_restart(&node.settings, &settings);
                 logs::write(event::SETTINGS_RELOADED, &[("file", &file), ("needs_restart", &needs_restart)]);
@@ -197,13 +202,13 @@
     }
 }
 
-/// Returns whether something changed that only a restart takes over.
-fn needs_restart(held: &EntrySettings, read: &EntrySettings) -> bool {
+/// Returns whether a setting changed that takes effect only after a restart.
+fn needs_restart(current: &EntrySettings, reloaded: &EntrySettings) -> bool {
     let live = EntrySettings {
-        seeds: read.seeds.clone(),
-        stop_limit_s: read.stop_limit_s,
-        order_handover_ms: read.order_handover_ms,
-        ..held.clone()
+        seeds: reloaded.seeds.clone(),
+        stop_limit_s: reloaded.stop_limit_s,
+        order_handover_ms: reloaded.order_handover_ms,
+        ..current.clone()
     };
-    live != *read
+    live != *reloaded
 }
--- a/crates/trestlerackd/src/entry/news/mod.rs
+++ b/crates/trestlerackd/src/entry/news/mod.rs
@@ -33,7 +33,7 @@
 /// Tells a peer and takes over its answer. Returns whether it answered.
 async fn exchange(node: &Arc<EntryNode>, peer: &Name, news: LoadMessage) -> bool {
     let news = LoadMessage { sender: node.settings.name.clone(), ..news };
-    let Some(answer) = node.peers.tell_news(peer, news).await else { return false };
+    let Some(answer) = node.peers.exchange_load(peer, news).await else { return false };
     share_news::learn(node, answer.shares);
     server_news::learn(node, answer.servers);
     true
--- a/crates/trestlerackd/src/entry/news/server_news.rs
+++ b/crates/trestlerackd/src/entry/news/server_news.rs
@@ -23,7 +23,7 @@
 
 /// Says that there may be something to tell.
 pub fn wake(node: &EntryNode) {
-    node.has_server_notes.notify_one();
+    node.new_observations.notify_one();
 }
 
 /// Takes over what a peer tells, and returns what it may not know: a peer that tells nothing has just
@@ -55,7 +55,7 @@
 /// Tells peers of servers, until the process ends.
 pub async fn tell_peers(node: Arc<EntryNode>) {
     loop {
-        node.has_server_notes.notified().await;
+        node.new_observations.notified().await;
         clock::sleep(GATHER_TIME).await;
         while tell_some(&node).await {
             clock::sleep(LATER).await;
@@ -74,7 +74,7 @@
     }
     let own = notes.iter().filter(|note| note.origin == node.settings.name);
     own.for_each(|note| log_changed(node, note));
-    let chosen = server_gossip().pick_push_peers(&node.peers.others(), &mut rand::rng());
+    let chosen = server_gossip().pick_push_peers(&node.peers.peer_addresses(), &mut rand::rng());
     let news = LoadMessage { servers: notes, ..LoadMessage::default() };
     // A peer that does not answer hears of it from others.
     tell(node, &chosen, news).await;
@@ -86,7 +86,7 @@
 pub async fn ask_peer(node: Arc<EntryNode>) {
     let gossip = server_gossip();
     for _ in 0..ASKED_PEERS {
-        let peer = gossip.pick_pull_peer(&node.peers.others(), &mut rand::rng());
+        let peer = gossip.pick_pull_peer(&node.peers.peer_addresses(), &mut rand::rng());
         if let Some(peer) = peer
             && exchange(&node, &peer, LoadMessage::default()).await
         {
--- a/crates/trestlerackd/src/entry/news/share_news.rs
+++ b/crates/trestlerackd/src/entry/news/share_news.rs
@@ -40,7 +40,7 @@
     if shares.is_empty() {
         return;
     }
-    let peers = node.shares.gossip().pick_push_peers(&node.peers.others(), &mut rand::rng());
+    let peers = node.shares.gossip().pick_push_peers(&node.peers.peer_addresses(), &mut rand::rng());
     let node = node.clone();
     tokio::spawn(async move { tell(&node, &peers, LoadMessage { shares, ..LoadMessage::default() }).await });
 }
--- a/crates/trestlerackd/src/entry/node.rs
+++ b/crates/trestlerackd/src/entry/node.rs
@@ -4,7 +4,7 @@
 use super::duties::UsageBook;
 use super::held::HeldDesk;
 use super::job_driver::JobDriver;
-use super::lease_cache::LeaseBook;
+use super::lease_cache::LeaseCache;
 use super::levels::LevelDesk;
 use super::metrics::EntryMetrics;
 use super::peers::PeerClient;
@@ -13,7 +13,7 @@
 use super::shares::ShareDesk;
 use super::store::{DirectStore, RelayedStore};
 use super::suspects::SuspectDesk;
-use super::weight_state::WeightBook;
+use super::weight_state::WeightState;
 use crate::process::clock::SystemClock;
 use crate::process::tracing::{HopSpan, HopTracer, TRACE_HEADER};
 use http::HeaderMap;
@@ -34,28 +34,29 @@
 /// What this node knows of a job from the store.
 #[derive(Clone, Debug)]
 pub struct JobView {
-    /// The head row.
-    pub head: JobRecord,
-    /// Version of the head row.
+    /// The stored record of the job.
+    pub record: JobRecord,
+    /// Version of the record's row in the store.
     pub version: u64,
     /// Whether the client ended the job.
     pub is_ended: bool,
-    /// How many versions behind the newest one, as of when the job was first seen, it accepts.
-    pub lag: WeightVersion,
-    /// When the head row was last seen to change.
+    /// How many weight versions behind the newest one the job accepts, computed when it was first seen.
+    pub accepted_lag: WeightVersion,
+    /// When a change of the record was last seen.
     pub changed_at: Timestamp,
 }
 
 /// Settings that may change while the process runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct EntryBounds {
+pub struct LiveSettings {
     /// Time from a planned stop to the kill.
     pub stop_limit: Duration,
-    /// Time that a new holder of the order lease waits for the last order of the one before.
+    /// Time for which a new holder of the order lease orders nothing from engines that its predecessor
+    /// ordered.
     pub order_handover: Duration,
 }
 
-impl From<&EntrySettings> for EntryBounds {
+impl From<&EntrySettings> for LiveSettings {
     fn from(settings: &EntrySettings) -> Self {
         Self {
             stop_limit: Duration::from_secs_f64(settings.stop_limit_s),
@@ -68,92 +69,92 @@
 pub struct EntryNode {
     /// Settings at the start; names and addresses stay as they were then.
     pub settings: EntrySettings,
-    /// Bounds that take effect as soon as the settings file is read again.
-    pub bounds: RwLock<EntryBounds>,
+    /// Settings that take effect as soon as the settings file is read again.
+    pub live_settings: RwLock<LiveSettings>,
     /// Tells this process from earlier ones on the same VM.
     pub incarnation: u64,
-    /// Clock.
+    /// Monotonic clock of this node.
     pub clock: SystemClock,
-    /// Connections.
+    /// Outgoing connections to servers, peers and the store.
     pub pool: Arc<ConnectionPool>,
-    /// The store, called directly only.
+    /// The store, called directly without fallback to peers.
     pub direct_store: Arc<DirectStore>,
     /// The store, directly or through peers.
     pub store: RelayedStore,
-    /// Peers.
+    /// Calls to the other nodes, and their registered rows.
     pub peers: Arc<PeerClient>,
-    /// Configuration in force; `None` before the first one is known.
+    /// Current routing configuration; `None` before the first one is known.
     pub routing: RwLock<Option<Arc<RoutingTable>>>,
-    /// Reads the configuration again for keys that it does not hold.
+    /// Reads the configuration again when a caller presents an unknown key.
     pub key_refresh: KeyRefresh,
     /// Registered backend servers.
     pub registry: Mutex<ServerRegistry>,
-    /// What is believed of them.
+    /// Chooses among backend servers by their health and load.
     pub board: Mutex<ServerBoard>,
-    /// How long answers take, by route.
-    pub route_times: Mutex<AnswerTimes>,
-    /// Tells that peers may be to be told of servers.
-    pub has_server_notes: Notify,
-    /// Calls that wait for a place of a service.
-    pub room: RoomDesk,
-    /// Requests under which servers ended.
+    /// Response latencies by route.
+    pub route_latencies: Mutex<AnswerTimes>,
+    /// Notified when there may be server observations to send to peers.
+    pub new_observations: Notify,
+    /// Admission control of calls to services, with the queue of waiting calls.
+    pub admission: RoomDesk,
+    /// Request contents under which servers crashed.
     pub suspects: SuspectDesk,
-    /// Shares of customers in services that are short.
+    /// Fair shares of customers in overloaded services.
     pub shares: ShareDesk,
-    /// Whether service discovery was read once.
-    pub has_registry: AtomicBool,
-    /// Whether the system's own rows were read once.
-    pub has_state: AtomicBool,
+    /// Whether the list of backend servers has been read at least once.
+    pub has_read_registry: AtomicBool,
+    /// Whether the state table has been read at least once.
+    pub has_read_state: AtomicBool,
     /// Whether the store has this node's row.
     pub is_registered: AtomicBool,
-    /// Tells that the store had no row of this node when it was read last.
-    pub unlisted: Notify,
-    /// Versions that trainers named, and what engines were ordered.
-    pub weights: WeightBook,
-    /// The lease on weight orders and duties.
-    pub lease: LeaseBook,
-    /// Requests of customers that began to run.
+    /// Notified when the store turns out to have no row of this node.
+    pub row_missing: Notify,
+    /// Weight versions that trainers published, and the assignments of engines.
+    pub weights: WeightState,
+    /// The lease on weight orders and background duties.
+    pub lease: LeaseCache,
+    /// Counts requests of customers that began to run.
     pub usage: UsageBook,
-    /// Whether this node follows the store, and what it passes on.
+    /// Whether this node is a follower of the store, and the changes that it relays.
     pub levels: LevelDesk,
-    /// Version of this node's row when it was written last; the largest number before.
-    pub registered_at: AtomicU64,
-    /// How old what is known of ended jobs is.
-    pub end_news: Mutex<JobEndFreshness>,
+    /// Version of this node's row when it was last written; `u64::MAX` before the first write.
+    pub registered_version: AtomicU64,
+    /// Age of the known ends of jobs.
+    pub job_end_freshness: Mutex<JobEndFreshness>,
     /// Jobs by id.
     pub jobs: Mutex<HashMap<Name, JobView>>,
-    /// Jobs whose end was seen before their head.
+    /// Jobs whose end was seen before their record.
     pub early_ends: Mutex<HashSet<Name>>,
-    /// Changes with every change of a job.
-    pub job_news: watch::Sender<u64>,
+    /// Counter that increases with every change of a job, for tasks that wait for one.
+    pub job_changes: watch::Sender<u64>,
     /// Jobs that this node drives.
     pub drivers: Mutex<HashMap<Name, Arc<JobDriver>>>,
-    /// Counters and histograms.
+    /// Counters and histograms of this node.
     pub metrics: EntryMetrics,
-    /// Spans, where the settings name a collector.
+    /// Tracer of request spans; `None` unless the settings name a collector.
     pub tracer: Option<HopTracer>,
     /// Whether a planned stop has begun.
     pub stopping: watch::Sender<bool>,
-    /// Whether connections of clients are to end.
+    /// Whether client connections are to be closed.
     pub closing: watch::Sender<bool>,
-    /// What is held for callers, and the bounds of it.
-    pub held: Arc<HeldDesk>,
-    /// Open connections of clients.
+    /// Limits on memory and connections, and their current use.
+    pub resource_limits: Arc<HeldDesk>,
+    /// Number of open client connections.
     pub client_connections: AtomicUsize,
     writes: AtomicU64,
 }
 
 impl EntryNode {
-    /// Opens a node; nothing is served yet.
+    /// Creates the state of a node. Nothing is served before the listeners start.
     pub fn open(settings: EntrySettings) -> anyhow::Result<Self> {
         let clock = SystemClock::new();
         let now = clock.now();
-        let held = Arc::new(HeldDesk::new(&settings));
-        let pool = Arc::new(ConnectionPool::new(held.descriptors.clone(), settings.store.clone()));
+        let resource_limits = Arc::new(HeldDesk::new(&settings));
+        let pool = Arc::new(ConnectionPool::new(resource_limits.descriptors.clone(), settings.store.clone()));
         let peers = Arc::new(PeerClient::new(pool.clone(), settings.peer_listen.clone(), settings.seeds.clone()));
         let direct_store = Arc::new(DirectStore::new(pool.clone(), settings.store.clone()));
         Ok(Self {
-            bounds: RwLock::new(EntryBounds::from(&settings)),
+            live_settings: RwLock::new(LiveSettings::from(&settings)),
             incarnation: rand::random::<u64>() >> 1,
             clock,
             store: RelayedStore::new(direct_store.clone(), peers.clone()),
@@ -164,38 +165,38 @@
             key_refresh: KeyRefresh::default(),
             registry: Mutex::new(ServerRegistry::new(RegistrySettings::default())),
             board: Mutex::new(ServerBoard::new(BoardSettings::default())),
-            route_times: Mutex::default(),
-            has_server_notes: Notify::new(),
-            room: RoomDesk::new(),
+            route_latencies: Mutex::default(),
+            new_observations: Notify::new(),
+            admission: RoomDesk::new(),
             suspects: SuspectDesk::new(&settings),
             shares: ShareDesk::new(now, settings.name.clone()),
-            has_registry: AtomicBool::new(false),
-            has_state: AtomicBool::new(false),
+            has_read_registry: AtomicBool::new(false),
+            has_read_state: AtomicBool::new(false),
             is_registered: AtomicBool::new(false),
-            unlisted: Notify::new(),
-            weights: WeightBook::default(),
-            lease: LeaseBook::default(),
+            row_missing: Notify::new(),
+            weights: WeightState::default(),
+            lease: LeaseCache::default(),
             usage: UsageBook::new(settings.usage()),
             levels: LevelDesk::new(clock.now()),
-            registered_at: AtomicU64::new(u64::MAX),
-            end_news: Mutex::default(),
+            registered_version: AtomicU64::new(u64::MAX),
+            job_end_freshness: Mutex::default(),
             jobs: Mutex::default(),
             early_ends: Mutex::default(),
-            job_news: watch::channel(0).0,
+            job_changes: watch::channel(0).0,
             drivers: Mutex::default(),
             metrics: EntryMetrics::start()?,
             tracer: start_tracer(&settings.otlp_endpoint)?,
             stopping: watch::channel(false).0,
             closing: watch::channel(false).0,
-            held,
+            resource_limits,
             client_connections: AtomicUsize::new(0),
             writes: AtomicU64::new(1),
             settings,
         })
     }
 
-    /// Starts the span of a hop below the one that `headers` name, and names it there for the next
-    /// hop. Without a collector there is no span and the headers stay as they are.
+    /// Starts a span whose parent is the trace context in `headers`, and replaces that context by the new
+    /// span for the next hop. Without a collector there is no span and the headers stay unchanged.
     pub fn hop(&self, name: &'static str, kind: SpanKind, headers: &mut HeaderMap) -> Option<HopSpan> {
         let parent = headers.get(TRACE_HEADER).and_then(|value| value.to_str().ok());
         let span = self.tracer.as_ref()?.hop(name, kind, parent);
@@ -205,22 +206,22 @@
         Some(span)
     }
 
-    /// Returns the time now.
+    /// Returns the current time.
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// Returns a number that no other write of any node has.
+    /// Returns a number that identifies one write among those of all nodes.
     pub fn write_id(&self) -> u64 {
         self.incarnation.wrapping_add(self.writes.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// Returns the bounds in force.
-    pub fn bounds(&self) -> EntryBounds {
-        *self.bounds.read().unwrap()
+    /// Returns the current values of the settings that may change at run time.
+    pub fn live_settings(&self) -> LiveSettings {
+        *self.live_settings.read().unwrap()
     }
 
-    /// Returns the configuration in force.
+    /// Returns the current routing configuration; `None` before the first one is known.
     pub fn routing(&self) -> Option<Arc<RoutingTable>> {
         self.routing.read().unwrap().clone()
     }
@@ -230,59 +231,59 @@
         *self.stopping.borrow()
     }
 
-    /// Returns whether clients may be sent here.
+    /// Returns whether this node is ready for traffic from clients.
     pub fn is_ready(&self) -> bool {
-        let knows_servers = self.has_registry.load(Ordering::Relaxed) && self.suspects.has_looked();
+        let knows_servers = self.has_read_registry.load(Ordering::Relaxed) && self.suspects.has_looked();
         !self.is_stopping() && self.routing().is_some() && knows_servers
     }
 
-    /// Returns the row by which peers find this node.
+    /// Returns this node's registration row, by which peers find it.
     pub fn node_row(&self) -> NodeRow {
         let address = self.settings.peer_listen.clone();
         let (capacity, zone) = (self.settings.capacity(), self.settings.zone.clone());
         NodeRow { address, incarnation: self.incarnation, capacity, zone }
     }
 
-    /// Takes over a head row that was read or written, unless a newer one is known.
-    pub fn learn_head(&self, head: JobRecord, version: u64, job: &Name) {
+    /// Stores a job record that was read or written, unless a newer version is known.
+    pub fn merge_job_record(&self, record: JobRecord, version: u64, job: &Name) {
         let now = self.now();
         let mut jobs = self.jobs.lock().unwrap();
         match jobs.get_mut(job) {
             Some(view) if view.version >= version => return,
             Some(view) => {
-                view.head = head;
+                view.record = record;
                 view.version = version;
                 view.changed_at = now;
             }
             None => {
                 let is_ended = self.early_ends.lock().unwrap().remove(job);
-                let newest = head.model.as_ref().map_or(0, |model| self.weights.newest_version(model));
-                let lag = newest.saturating_sub(head.min_version);
-                jobs.insert(job.clone(), JobView { head, version, is_ended, lag, changed_at: now });
+                let newest = record.model.as_ref().map_or(0, |model| self.weights.newest_version(model));
+                let accepted_lag = newest.saturating_sub(record.min_version);
+                jobs.insert(job.clone(), JobView { record, version, is_ended, accepted_lag, changed_at: now });
             }
         }
         drop(jobs);
-        self.job_news.send_modify(|count| *count += 1);
+        self.job_changes.send_modify(|changes| *changes += 1);
     }
 
-    /// Returns how many versions behind the newest one the newest job of a model accepts.
+    /// Returns how many weight versions behind the newest one the latest job of a model accepts.
     pub fn accepted_lag(&self, model: &Name) -> WeightVersion {
         let jobs = self.jobs.lock().unwrap();
-        let of_model = jobs.values().filter(|view| view.head.model.as_ref() == Some(model));
-        of_model.max_by_key(|view| view.head.accepted_ms).map_or(0, |view| view.lag)
+        let of_model = jobs.values().filter(|view| view.record.model.as_ref() == Some(model));
+        of_model.max_by_key(|view| view.record.accepted_ms).map_or(0, |view| view.accepted_lag)
     }
 
-    /// Returns the items of a model's open jobs, or of its largest job where that has more: the next one is
-    /// likely to be as large.
+    /// Returns the number of items in a model's open jobs, or in its largest known job if that has more,
+    /// because the next job is likely to be as large.
     pub fn open_items(&self, model: &Name) -> usize {
         let jobs = self.jobs.lock().unwrap();
-        let of_model = || jobs.values().filter(|view| view.head.model.as_ref() == Some(model));
-        let open: usize = of_model().filter(|view| !view.is_ended).map(|view| view.head.total).sum();
-        of_model().map(|view| view.head.total).max().unwrap_or(0).max(open)
+        let of_model = || jobs.values().filter(|view| view.record.model.as_ref() == Some(model));
+        let open: usize = of_model().filter(|view| !view.is_ended).map(|view| view.record.total).sum();
+        of_model().map(|view| view.record.total).max().unwrap_or(0).max(open)
     }
 
     /// Records that a client ended a job.
-    pub fn learn_end(&self, job: &Name) {
+    pub fn record_job_end(&self, job: &Name) {
         match self.jobs.lock().unwrap().get_mut(job) {
             Some(view) => view.is_ended = true,
             None => {
@@ -292,7 +293,7 @@
         if let Some(driver) = self.drivers.lock().unwrap().get(job) {
             driver.end();
         }
-        self.job_news.send_modify(|count| *count += 1);
+        self.job_changes.send_modify(|changes| *changes += 1);
     }
 
     /// Forgets a job whose rows were removed.
@@ -301,25 +302,25 @@
         self.early_ends.lock().unwrap().remove(job);
     }
 
-    /// Forgets the jobs that were not among all partitions listed at the version `as_of`, unless
-    /// they are newer than that: their removal was then missed.
+    /// Forgets jobs that are missing from a complete list of partitions as of the version `as_of`, because
+    /// their removal was missed. Jobs with a newer version are kept.
     pub fn forget_missing_jobs(&self, partitions: &[Name], as_of: u64) {
         let listed: HashSet<&Name> = partitions.iter().collect();
         self.jobs.lock().unwrap().retain(|job, view| view.version > as_of || listed.contains(job));
     }
 
-    /// Returns whether what is known of ended jobs is recent enough to start work on one.
+    /// Returns whether the known ends of jobs are recent enough to start work on a job.
     pub fn may_start_work(&self) -> bool {
-        self.end_news.lock().unwrap().may_start(self.now())
+        self.job_end_freshness.lock().unwrap().may_start(self.now())
     }
 
-    /// Returns what is known of a job.
+    /// Returns what this node knows of a job; `None` for an unknown job.
     pub fn job(&self, job: &str) -> Option<JobView> {
         self.jobs.lock().unwrap().get(job).cloned()
     }
 }
 
-/// Without a collector there are no spans at all, because they cost time and memory.
+/// Starts the tracer. Without a collector there are no spans, because they cost time and memory.
 fn start_tracer(endpoint: &str) -> anyhow::Result<Option<HopTracer>> {
     if endpoint.is_empty() { Ok(None) } else { HopTracer::start(endpoint).map(Some) }
 }
--- a/crates/trestlerackd/src/entry/peers.rs
+++ b/crates/trestlerackd/src/entry/peers.rs
@@ -1,4 +1,4 @@
-//! What nodes ask each other: to relay a store call, and whether a job is driven.
+//! Calls between nodes: relayed store calls, jobs, usage, load, crash reports and store changes.
 
 use super::adoption;
 use super::feed_relay::{self, FeedCall, FeedReply};
@@ -30,164 +30,173 @@
 /// Path of all calls between nodes.
 const PEER_PATH: &str = "/peer";
 
-/// Time for an answer to a liveness question.
-const PING_TIMEOUT: Duration = Duration::from_millis(350);
+/// Timeout of calls that a peer answers without calling the store.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// Time that a node gives a store call that it relays.
+/// Timeout of a store call that a node makes for a peer.
 const RELAY_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Longest call or reply, in bytes.
-const MAX_MESSAGE: usize = 8 * 1024 * 1024;
+/// Maximum size of a call or reply, in bytes.
+const MAX_MESSAGE_BYTES: usize = 8 * 1024 * 1024;
 
-/// A question to a peer.
+/// A call to a peer.
 #[derive(Serialize, Deserialize)]
 pub enum PeerCall {
-    /// Make a store call and return its reply.
+    /// Makes a store call and returns its reply.
     Relay(StoreCall),
-    /// Say whether you drive a job.
-    Drives {
+    /// Asks whether the peer drives a job.
+    #[serde(rename = "Drives")]
+    IsDriving {
         /// The job.
         job: Name,
     },
-    /// Drive a job that names you as its owner, and say whether you do.
+    /// Asks the peer to drive a job whose record names it as owner, and to say whether it does.
     Drive {
         /// The job.
         job: Name,
     },
-    /// Take what a node counted of its customers' usage.
+    /// Sends the usage that a node counted for its customers.
     Usage {
-        /// Who counted.
+        /// Node that counted the usage.
         sender: UsageSender,
-        /// What was counted.
-        notes: Vec<UsageSnapshot>,
+        /// Cumulative counts by window.
+        #[serde(rename = "notes")]
+        snapshots: Vec<UsageSnapshot>,
     },
-    /// Take strikes over, and say which others you know.
-    Strikes {
-        /// What the caller knows.
-        notes: Vec<CrashReport>,
+    /// Sends crash reports and asks for those that the caller lacks.
+    #[serde(rename = "Strikes")]
+    CrashReports {
+        /// Crash reports that the caller knows.
+        #[serde(rename = "notes")]
+        reports: Vec<CrashReport>,
     },
-    /// Take news of load over, and say what the caller asks for.
-    News(LoadMessage),
-    /// Say what has changed in the store's tables.
+    /// Sends load information and asks for that which the caller requests.
+    #[serde(rename = "News")]
+    Load(LoadMessage),
+    /// Asks for changes of the store's tables.
     Feed(FeedCall),
-    /// Give a server to a suspect, if you keep its trials for nobody else.
+    /// Asks to reserve a server for the trial of a suspect, unless it is reserved for another one.
     Trial {
         /// The server.
         server: Name,
-        /// What the suspect asks for.
+        /// Fingerprint of the suspect's content.
         fingerprint: RequestFingerprint,
     },
-    /// A job is ended, as the store holds; say whether you drove it.
+    /// Announces that a job has ended in the store, and asks whether the peer drove it.
     End {
         /// The job.
         job: Name,
     },
 }
 
-/// The answer of a peer.
+/// The reply of a peer.
 #[derive(Serialize, Deserialize)]
 pub enum PeerReply {
-    /// Reply of the store.
+    /// Reply of the store to a relayed call.
     Relayed(StoreReply),
-    /// The store cannot be reached from here either; nothing was done.
+    /// The peer cannot reach the store either; the call was not applied.
     Unavailable,
-    /// The store serves this node but takes no more calls now; nothing was done.
+    /// The store serves the peer but rejects calls for their rate; the call was not applied.
     RateLimited,
     /// The store call may have been applied.
     Unknown,
-    /// Whether the job is driven.
-    Drives(bool),
-    /// The usage is noted.
-    Noted,
-    /// Strikes that the caller may not know.
-    Strikes(Vec<CrashReport>),
-    /// News of load that the caller asked for.
-    News(LoadMessage),
+    /// Whether the peer drives the job.
+    #[serde(rename = "Drives")]
+    IsDriving(bool),
+    /// The usage was recorded.
+    #[serde(rename = "Noted")]
+    UsageRecorded,
+    /// Crash reports that the caller may not know.
+    #[serde(rename = "Strikes")]
+    CrashReports(Vec<CrashReport>),
+    /// Load information that the caller requested.
+    #[serde(rename = "News")]
+    Load(LoadMessage),
     /// Changes of the store's tables.
     Feed(FeedReply),
-    /// Whether the server is given to the suspect.
+    /// Whether the server is reserved for the suspect.
     Trial(bool),
 }
 
-/// Calls peers.
+/// Client for calls to peers, with the registered nodes.
 pub struct PeerClient {
     pool: Arc<ConnectionPool>,
     own_address: Name,
     seeds: Mutex<Vec<Name>>,
-    known: Mutex<NodeRows>,
+    nodes: Mutex<NodeRows>,
     relays: Mutex<RelaySelector>,
-    time: SystemClock,
+    clock: SystemClock,
 }
 
 impl PeerClient {
-    /// Builds a client that knows the seeds only.
+    /// Creates a client that knows only the seeds.
     pub fn new(pool: Arc<ConnectionPool>, own_address: Name, seeds: Vec<Name>) -> Self {
         let relays = Mutex::new(RelaySelector::new(&own_address));
-        let (seeds, known, time) = (Mutex::new(seeds), Mutex::default(), SystemClock::new());
-        Self { pool, own_address, seeds, known, relays, time }
+        let (seeds, nodes, clock) = (Mutex::new(seeds), Mutex::default(), SystemClock::new());
+        Self { pool, own_address, seeds, nodes, relays, clock }
     }
 
-    /// Takes over other seeds.
+    /// Replaces the seeds.
     pub fn set_seeds(&self, seeds: Vec<Name>) {
         *self.seeds.lock().unwrap() = seeds;
     }
 
-    /// Takes over the row of a peer as of a version in the store, or its removal.
+    /// Merges the row of a node, or its removal, as of a version in the store.
     pub fn put(&self, name: &Name, version: u64, row: Option<NodeRow>) {
-        self.known.lock().unwrap().put(name, version, row);
+        self.nodes.lock().unwrap().put(name, version, row);
     }
 
-    /// Forgets the rows that were not among all those read at the version `as_of`, unless they are
-    /// newer than that.
+    /// Forgets nodes that are missing from a complete list as of the version `as_of`. Nodes with a newer row
+    /// are kept.
     pub fn forget_missing(&self, registered: &[Name], as_of: u64) {
-        self.known.lock().unwrap().forget_missing(registered, as_of);
+        self.nodes.lock().unwrap().forget_missing(registered, as_of);
     }
 
-    /// Returns whether a node runs as another incarnation by now than the one that wrote a row at
-    /// the version `written_at`.
+    /// Returns whether a node was restarted since its given incarnation wrote a row at the version
+    /// `written_at`.
     pub fn is_restarted(&self, name: &str, incarnation: u64, written_at: u64) -> bool {
-        self.known.lock().unwrap().is_restarted(name, incarnation, written_at)
+        self.nodes.lock().unwrap().is_restarted(name, incarnation, written_at)
     }
 
     /// Returns the row of a registered node.
     pub fn get(&self, name: &str) -> Option<NodeRow> {
-        self.known.lock().unwrap().get(name).cloned()
+        self.nodes.lock().unwrap().get(name).cloned()
     }
 
     /// Returns the version of a registered node's row in the store.
     pub fn row_version(&self, name: &str) -> Option<u64> {
-        self.known.lock().unwrap().version(name)
+        self.nodes.lock().unwrap().version(name)
     }
 
     /// Returns the names of all registered nodes.
     pub fn names(&self) -> Vec<Name> {
-        self.known.lock().unwrap().iter().map(|(name, _)| name.clone()).collect()
+        self.nodes.lock().unwrap().iter().map(|(name, _)| name.clone()).collect()
     }
 
     /// Returns all registered nodes with their capacities.
     pub fn capacities(&self) -> Vec<(Name, u32)> {
-        self.known.lock().unwrap().iter().map(|(name, row)| (name.clone(), row.capacity)).collect()
+        self.nodes.lock().unwrap().iter().map(|(name, row)| (name.clone(), row.capacity)).collect()
     }
 
-    /// Returns what `take` makes of the rows of all registered nodes.
+    /// Applies `take` to the rows of all registered nodes and returns the results.
     pub fn rows<T>(&self, take: impl Fn(&Name, &NodeRow) -> T) -> Vec<T> {
-        self.known.lock().unwrap().iter().map(|(name, row)| take(name, row)).collect()
+        self.nodes.lock().unwrap().iter().map(|(name, row)| take(name, row)).collect()
     }
 
     /// Returns how many nodes are registered.
     pub fn count(&self) -> usize {
-        self.known.lock().unwrap().iter().count()
+        self.nodes.lock().unwrap().iter().count()
     }
 
-    /// Returns whether any peer may be asked.
+    /// Returns whether any peer is nodes.
     pub fn has_any(&self) -> bool {
-        !self.others().is_empty()
+        !self.peer_addresses().is_empty()
     }
 
-    /// Returns the addresses of all other nodes that are known, seeds included.
-    pub fn others(&self) -> Vec<Name> {
-        let known = self.known.lock().unwrap();
-        let mut addresses: Vec<Name> = known.iter().map(|(_, row)| row.address.clone()).collect();
+    /// Returns the addresses of all other known nodes, including seeds.
+    pub fn peer_addresses(&self) -> Vec<Name> {
+        let nodes = self.nodes.lock().unwrap();
+        let mut addresses: Vec<Name> = nodes.iter().map(|(_, row)| row.address.clone()).collect();
         let seeds = self.seeds.lock().unwrap();
         let unknown: Vec<Name> = seeds.iter().filter(|seed| !addresses.contains(seed)).cloned().collect();
         addresses.extend(unknown);
@@ -195,15 +204,16 @@
         addresses
     }
 
-    /// Returns the peers that are to relay a store call, to be asked in turn.
+    /// Returns the peers that may relay a store call, in the order in which to ask them.
     pub fn pick_relays(&self) -> Vec<Name> {
-        let addresses = self.others();
-        self.relays.lock().unwrap().pick(self.time.now(), addresses)
+        let addresses = self.peer_addresses();
+        self.relays.lock().unwrap().pick(self.clock.now(), addresses)
     }
 
-    /// Asks a peer to make a store call.
+    /// Asks a peer to make a store call. A peer that does not answer may have passed the call on, which
+    /// returns [`StoreError::Unknown`].
     pub async fn relay(&self, peer: &Name, call: &StoreCall, limit: Duration) -> Result<StoreReply, StoreError> {
-        let error = match self.ask(peer, &PeerCall::Relay(call.clone()), limit).await {
+        let error = match self.call(peer, &PeerCall::Relay(call.clone()), limit).await {
             Some(PeerReply::Relayed(reply)) => {
                 self.relays.lock().unwrap().record_success(peer);
                 return Ok(reply);
@@ -213,75 +223,76 @@
             // A peer that does not answer may still have passed the call on.
             _ => StoreError::Unknown,
         };
-        self.relays.lock().unwrap().record_failure(self.time.now(), peer);
+        self.relays.lock().unwrap().record_failure(self.clock.now(), peer);
         Err(error)
     }
 
-    /// Asks a peer whether it drives a job; `None` if it does not answer.
-    pub async fn drives(&self, peer: &Name, job: &Name) -> Option<bool> {
-        self.ask_about(peer, &PeerCall::Drives { job: job.clone() }).await
+    /// Asks a peer whether it drives a job. Returns `None` if it does not answer.
+    pub async fn is_driving(&self, peer: &Name, job: &Name) -> Option<bool> {
+        self.call_about_job(peer, &PeerCall::IsDriving { job: job.clone() }).await
     }
 
-    /// Asks a peer to drive a job that names it as owner; `None` if it does not answer.
+    /// Asks a peer to drive a job that names it as owner. Returns `None` if it does not answer.
     pub async fn drive(&self, peer: &Name, job: &Name) -> Option<bool> {
-        self.ask_about(peer, &PeerCall::Drive { job: job.clone() }).await
+        self.call_about_job(peer, &PeerCall::Drive { job: job.clone() }).await
     }
 
-    /// Tells the owner of a job that the job is ended. The owner's watch tells it too, only later;
-    /// `None` if it does not answer.
-    pub async fn end(&self, peer: &Name, job: &Name) -> Option<bool> {
-        self.ask_about(peer, &PeerCall::End { job: job.clone() }).await
+    /// Tells the owner of a job that the job has ended, which its watch would show only later. Returns
+    /// `None` if the owner does not answer.
+    pub async fn announce_job_end(&self, peer: &Name, job: &Name) -> Option<bool> {
+        self.call_about_job(peer, &PeerCall::End { job: job.clone() }).await
     }
 
-    /// Tells the holder of the lease what was counted; `None` if it does not answer.
-    pub async fn tell_usage(&self, peer: &Name, sender: &UsageSender, notes: &[UsageSnapshot]) -> Option<()> {
-        let call = PeerCall::Usage { sender: sender.clone(), notes: notes.to_vec() };
-        match self.ask(peer, &call, PING_TIMEOUT).await {
-            Some(PeerReply::Noted) => Some(()),
+    /// Sends counted usage to the lease holder. Returns `None` if it does not answer.
+    pub async fn send_usage(&self, peer: &Name, sender: &UsageSender, snapshots: &[UsageSnapshot]) -> Option<()> {
+        let call = PeerCall::Usage { sender: sender.clone(), snapshots: snapshots.to_vec() };
+        match self.call(peer, &call, REPLY_TIMEOUT).await {
+            Some(PeerReply::UsageRecorded) => Some(()),
             _ => None,
         }
     }
 
-    /// Tells a peer of strikes and returns those that it knows besides; `None` if it does not answer.
-    pub async fn tell_strikes(&self, peer: &Name, notes: &[CrashReport]) -> Option<Vec<CrashReport>> {
-        match self.ask(peer, &PeerCall::Strikes { notes: notes.to_vec() }, PING_TIMEOUT).await {
-            Some(PeerReply::Strikes(notes)) => Some(notes),
+    /// Sends crash reports to a peer and returns others that it knows. Returns `None` if it does not answer.
+    pub async fn exchange_crash_reports(&self, peer: &Name, reports: &[CrashReport]) -> Option<Vec<CrashReport>> {
+        match self.call(peer, &PeerCall::CrashReports { reports: reports.to_vec() }, REPLY_TIMEOUT).await {
+            Some(PeerReply::CrashReports(reports)) => Some(reports),
             _ => None,
         }
     }
 
-    /// Tells a peer news of load and returns its own; `None` if it does not answer.
-    pub async fn tell_news(&self, peer: &Name, news: LoadMessage) -> Option<LoadMessage> {
-        match self.ask(peer, &PeerCall::News(news), PING_TIMEOUT).await {
-            Some(PeerReply::News(news)) => Some(news),
+    /// Sends load information to a peer and returns the peer's. Returns `None` if it does not answer.
+    pub async fn exchange_load(&self, peer: &Name, message: LoadMessage) -> Option<LoadMessage> {
+        match self.call(peer, &PeerCall::Load(message), REPLY_TIMEOUT).await {
+            Some(PeerReply::Load(message)) => Some(message),
             _ => None,
         }
     }
 
-    /// Asks a follower for changes of the store's tables; `None` if it does not answer.
-    pub async fn ask_feed(&self, peer: &Name, call: FeedCall, limit: Duration) -> Option<FeedReply> {
-        match self.ask(peer, &PeerCall::Feed(call), limit).await {
+    /// Asks a follower for changes of the store's tables. Returns `None` if it does not answer.
+    pub async fn read_feed(&self, peer: &Name, call: FeedCall, limit: Duration) -> Option<FeedReply> {
+        match self.call(peer, &PeerCall::Feed(call), limit).await {
             Some(PeerReply::Feed(reply)) => Some(reply),
             _ => None,
         }
     }
 
-    /// Asks a peer that keeps a server's trials to give it to a suspect; `None` if it does not answer.
-    pub async fn ask_trial(&self, peer: &Name, server: &Name, fingerprint: RequestFingerprint) -> Option<bool> {
-        match self.ask(peer, &PeerCall::Trial { server: server.clone(), fingerprint }, PING_TIMEOUT).await {
+    /// Asks the peer that grants a server's trials to reserve the server for a suspect. Returns `None` if it
+    /// does not answer.
+    pub async fn request_trial(&self, peer: &Name, server: &Name, fingerprint: RequestFingerprint) -> Option<bool> {
+        match self.call(peer, &PeerCall::Trial { server: server.clone(), fingerprint }, REPLY_TIMEOUT).await {
             Some(PeerReply::Trial(is_granted)) => Some(is_granted),
             _ => None,
         }
     }
 
-    async fn ask_about(&self, peer: &Name, call: &PeerCall) -> Option<bool> {
-        match self.ask(peer, call, PING_TIMEOUT).await {
-            Some(PeerReply::Drives(drives)) => Some(drives),
+    async fn call_about_job(&self, peer: &Name, call: &PeerCall) -> Option<bool> {
+        match self.call(peer, call, REPLY_TIMEOUT).await {
+            Some(PeerReply::IsDriving(is_driving)) => Some(is_driving),
             _ => None,
         }
     }
 
-    async fn ask(&self, peer: &Name, call: &PeerCall, limit: Duration) -> Option<PeerReply> {
+    async fn call(&self, peer: &Name, call: &PeerCall, limit: Duration) -> Option<PeerReply> {
         let mut body = Vec::new();
         ciborium::into_writer(call, &mut body).ok()?;
         let request = Request::post(PEER_PATH).header(header::HOST, &**peer).body(Bytes::from(body)).ok()?;
@@ -290,41 +301,41 @@
 
     async fn exchange(&self, peer: &Name, request: Request<Bytes>) -> Option<PeerReply> {
         let (response, lease) = self.pool.send(peer, request, false).await.ok()?;
-        let body = Limited::new(response.into_body(), MAX_MESSAGE).collect().await.ok()?.to_bytes();
+        let body = Limited::new(response.into_body(), MAX_MESSAGE_BYTES).collect().await.ok()?.to_bytes();
         self.pool.keep(lease, None);
         ciborium::from_reader(&body[..]).ok()
     }
 }
 
-/// Answers peers until the process ends.
+/// Answers calls of peers until the process ends.
 pub async fn serve(node: Arc<EntryNode>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
-        // A peer whose connection is closed asks another one.
-        let Some(seat) = node.held.descriptors.try_acquire(ConnectionKind::Peers) else {
-            let (kind, why) = (ConnectionKind::Peers.as_str(), "the part of the peers is used up");
-            let open = node.held.descriptors.open(ConnectionKind::Peers);
+        // A peer whose connection is closed asks another node.
+        let Some(permit) = node.resource_limits.descriptors.try_acquire(ConnectionKind::Peers) else {
+            let (kind, why) = (ConnectionKind::Peers.as_str(), "all connections reserved for peers are in use");
+            let open = node.resource_limits.descriptors.open(ConnectionKind::Peers);
             let fields: [(&str, &dyn std::fmt::Display); 3] = [("kind", &kind), ("why", &why), ("open", &open)];
-            node.held.note(node.now(), HeldDecision::ConnectionsFull, &fields);
+            node.resource_limits.note(node.now(), HeldDecision::ConnectionsFull, &fields);
             continue;
         };
-        tokio::spawn(serve_peer(node.clone(), seat, stream));
+        tokio::spawn(serve_peer(node.clone(), permit, stream));
     }
 }
 
-async fn serve_peer(node: Arc<EntryNode>, _seat: ConnectionPermit, stream: TcpStream) {
+async fn serve_peer(node: Arc<EntryNode>, _permit: ConnectionPermit, stream: TcpStream) {
     super::pool::prepare(&stream);
     let service = hyper::service::service_fn(move |request: Request<Incoming>| {
         let node = node.clone();
         async move {
-            let reply = match answer(&node, request).await {
+            let reply = match handle_call(&node, request).await {
                 Some(reply) => Response::new(Full::new(reply)),
                 None => bad_request(),
             };
             Ok::<_, Infallible>(reply)
         }
     });
-    // A peer that breaks its connection asks again elsewhere.
+    // After a connection error the peer asks another node.
     let _ = hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
 }
 
@@ -334,9 +345,9 @@
     reply
 }
 
-async fn answer(node: &Arc<EntryNode>, request: Request<Incoming>) -> Option<Bytes> {
-    let body = Limited::new(request.into_body(), MAX_MESSAGE).collect().await.ok()?.to_bytes();
-    let _held = node.held.ledger.reserve(MemoryPurpose::Peers, body.len());
+async fn handle_call(node: &Arc<EntryNode>, request: Request<Incoming>) -> Option<Bytes> {
+    let body = Limited::new(request.into_body(), MAX_MESSAGE_BYTES).collect().await.ok()?.to_bytes();
+    let _reservation = node.resource_limits.ledger.reserve(MemoryPurpose::Peers, body.len());
     let call: PeerCall = ciborium::from_reader(&body[..]).ok()?;
     let reply = match call {
         PeerCall::Relay(call) => {
@@ -344,7 +355,7 @@
                 StoreCall::Watch { wait_ms, .. } => Duration::from_millis(*wait_ms),
                 _ => Duration::ZERO,
             };
-            // Only directly: a call that wandered from peer to peer might never end.
+            // Only directly: a call that is relayed from peer to peer might never end.
             match node.direct_store.call_within(&call, RELAY_TIMEOUT + wait).await {
                 Ok(reply) => PeerReply::Relayed(reply),
                 Err(StoreError::RateLimited) if !node.store.is_doubtful() => PeerReply::RateLimited,
@@ -352,21 +363,21 @@
                 Err(StoreError::Unknown) => PeerReply::Unknown,
             }
         }
-        PeerCall::Usage { sender, notes } => {
-            node.usage.take(&sender, notes);
-            PeerReply::Noted
+        PeerCall::Usage { sender, snapshots } => {
+            node.usage.take(&sender, snapshots);
+            PeerReply::UsageRecorded
         }
-        PeerCall::Strikes { notes } => PeerReply::Strikes(suspects::answer_peer(node, &notes)),
+        PeerCall::CrashReports { reports } => PeerReply::CrashReports(suspects::answer_peer(node, &reports)),
         PeerCall::Feed(call) => PeerReply::Feed(feed_relay::answer(node, call).await),
         PeerCall::Trial { server, fingerprint } => PeerReply::Trial(suspects::grant_trial(node, &server, fingerprint)),
-        PeerCall::News(told) => PeerReply::News(news::answer_peer(node, told)),
-        PeerCall::Drive { job } => PeerReply::Drives(adoption::drive_assigned(node, &job).await),
+        PeerCall::Load(message) => PeerReply::Load(news::answer_peer(node, message)),
+        PeerCall::Drive { job } => PeerReply::IsDriving(adoption::drive_assigned(node, &job).await),
         PeerCall::End { job } => {
             let is_driven = node.drivers.lock().unwrap().contains_key(&job);
-            node.learn_end(&job);
-            PeerReply::Drives(is_driven)
+            node.record_job_end(&job);
+            PeerReply::IsDriving(is_driven)
         }
-        PeerCall::Drives { job } => PeerReply::Drives(node.drivers.lock().unwrap().contains_key(&job)),
+        PeerCall::IsDriving { job } => PeerReply::IsDriving(node.drivers.lock().unwrap().contains_key(&job)),
     };
     let mut encoded = Vec::new();
     ciborium::into_writer(&reply, &mut encoded).ok()?;
--- a/crates/trestlerackd/src/entry/plain.rs
+++ b/crates/trestlerackd/src/entry/plain.rs
@@ -148,7 +148,7 @@
 /// Returns how long a server gets to answer a repeatable request: what is usual on its route, or longer
 /// where the target latency leaves the time.
 pub fn patience(node: &EntryNode, route: &RequestRoute) -> Duration {
-    let usual = node.route_times.lock().unwrap().usual(&route.name);
+    let usual = node.route_latencies.lock().unwrap().usual(&route.name);
     let by_target = Duration::from_millis(route.target_latency_ms) * PATIENCE_FACTOR;
     by_target.max(usual.unwrap_or(FIRST_PATIENCE))
 }
--- a/crates/trestlerackd/src/entry/retention.rs
+++ b/crates/trestlerackd/src/entry/retention.rs
@@ -52,8 +52,8 @@
     let retention_ms = node.settings.retention_s * 1_000;
     let jobs = node.jobs.lock().unwrap();
     let is_old = |view: &super::node::JobView| {
-        let is_over = view.is_ended || view.head.is_complete();
-        is_over && clock_ms.saturating_sub(view.head.accepted_ms) >= retention_ms
+        let is_over = view.is_ended || view.record.is_complete();
+        is_over && clock_ms.saturating_sub(view.record.accepted_ms) >= retention_ms
     };
     jobs.iter().filter(|(_, view)| is_old(view)).map(|(id, _)| id.clone()).collect()
 }
@@ -61,14 +61,14 @@
 /// Removes a job's object and rows, its head last: while that is there, a node that stops in between leaves
 /// the rest to the next holder of the lease.
 async fn remove_job(node: &Arc<EntryNode>, job: &Name) -> Result<(), StoreError> {
-    if let Some(view) = node.job(job).filter(|view| view.head.spec_rows == 0) {
-        let name = job_calls::spec_object(job, view.head.digest);
+    if let Some(view) = node.job(job).filter(|view| view.record.spec_rows == 0) {
+        let name = job_calls::spec_object(job, view.record.digest);
         node.store.call(&StoreCall::RemoveObject { name }).await?;
     }
-    for table in [tables::RESULTS, tables::SPECS, tables::KEPT, tables::STATE] {
+    for table in [tables::RESULTS, tables::SPECS, tables::CHECKPOINTS, tables::STATE] {
         let rows = tables::read_all(&node.store, table, job).await?;
         let keys: Vec<Name> = rows.into_iter().map(|row| row.key).collect();
-        for keys in keys.chunks(tables::COMMIT_ROWS) {
+        for keys in keys.chunks(tables::MAX_COMMIT_ROWS) {
             let transaction = keys.iter().fold(RowTransaction::new(job.clone()), |tx, key| tx.remove(table, key));
             match node.store.call(&StoreCall::Commit(transaction)).await? {
                 StoreReply::Committed(_) => {}
--- a/crates/trestlerackd/src/entry/room/entrance.rs
+++ b/crates/trestlerackd/src/entry/room/entrance.rs
@@ -59,11 +59,11 @@
     let waiting_call = call.waiting_call(node);
     // A place that only looks free is tried all the same: a server that is full says so sooner than a wait
     // would tell, and another one may have a place.
-    if !node.room.is_waited_for(call.service)
+    if !node.admission.is_waited_for(call.service)
         && let Some(ticket) = pick(ServerRoom::Place)
     {
         let now = node.now();
-        node.room.with_queue(call.service, |held| held.queue.record_bypass(now, &waiting_call));
+        node.admission.with_queue(call.service, |held| held.queue.record_bypass(now, &waiting_call));
         return Ok(ticket);
     }
     if call.kind == CallKind::Score {
@@ -100,13 +100,13 @@
 
 /// Records that a call came, which pays for a part of a second attempt.
 pub fn note_call(node: &EntryNode, call: &RoomCall<'_>) {
-    node.room.second_attempts.lock().unwrap().record_call(call.customer_name(), &call.route.name);
+    node.admission.second_attempts.lock().unwrap().record_call(call.customer_name(), &call.route.name);
     node.metrics.room.call(call.service);
 }
 
 /// Records that a call is sent to a server, where calls of its service are admitted by room.
 pub fn note_attempt(node: &EntryNode, service: &Name) {
-    let is_counted = node.room.queues().contains_key(service);
+    let is_counted = node.admission.queues().contains_key(service);
     if is_counted {
         node.metrics.room.attempt(service);
     }
@@ -114,8 +114,8 @@
 
 /// Returns whether a call may be sent to one more server.
 pub fn may_try_again(node: &EntryNode, call: &RoomCall<'_>, reason: AttemptReason) -> bool {
-    let is_short = node.room.is_short(node.now(), call.service);
-    let mut second_attempts = node.room.second_attempts.lock().unwrap();
+    let is_short = node.admission.is_short(node.now(), call.service);
+    let mut second_attempts = node.admission.second_attempts.lock().unwrap();
     let is_paid = second_attempts.try_spend(call.customer_name(), &call.route.name, reason, is_short);
     drop(second_attempts);
     if !is_paid {
--- a/crates/trestlerackd/src/entry/room/lines.rs
+++ b/crates/trestlerackd/src/entry/room/lines.rs
@@ -54,7 +54,7 @@
 
 /// Returns a line for each service for which calls were admitted here.
 pub fn lines(node: &EntryNode) -> Vec<RoomLine> {
-    let mut services: Vec<Name> = node.room.queues().keys().cloned().collect();
+    let mut services: Vec<Name> = node.admission.queues().keys().cloned().collect();
     services.sort();
     services.into_iter().map(|service| line(node, service)).collect()
 }
@@ -62,7 +62,7 @@
 fn line(node: &EntryNode, service: Name) -> RoomLine {
     let estimate = view(node, &service).estimate;
     let millis = |time: std::time::Duration| u64::try_from(time.as_millis()).ok();
-    node.room.with_queue(&service, |held| {
+    node.admission.with_queue(&service, |held| {
         let mut waiting_customers: BTreeMap<Name, u64> = BTreeMap::new();
         for customer in held.queue.calls().filter_map(|call| call.customer.clone()) {
             *waiting_customers.entry(customer).or_default() += 1;
--- a/crates/trestlerackd/src/entry/room/mod.rs
+++ b/crates/trestlerackd/src/entry/room/mod.rs
@@ -122,7 +122,7 @@
 pub fn note_full(node: &EntryNode, service: &Name) {
     if is_active(node, service) {
         let now = node.now();
-        node.room.with_queue(service, |held| held.queue.record_full_server(now));
+        node.admission.with_queue(service, |held| held.queue.record_full_server(now));
     }
 }
 
@@ -143,17 +143,17 @@
 
 /// Tells that a place of a service may be free.
 pub fn place_freed(node: &EntryNode, service: &Name) {
-    if node.room.has_waiting() && node.room.is_waited_for(service) {
+    if node.admission.has_waiting() && node.admission.is_waited_for(service) {
         advance(node, service);
     }
 }
 
 /// Tells that service discovery has changed, so that any service may have places.
 pub fn servers_changed(node: &EntryNode) {
-    if !node.room.has_waiting() {
+    if !node.admission.has_waiting() {
         return;
     }
-    let services: Vec<Name> = node.room.queues().keys().cloned().collect();
+    let services: Vec<Name> = node.admission.queues().keys().cloned().collect();
     for service in &services {
         advance(node, service);
     }
@@ -165,7 +165,7 @@
     let view = view(node, service);
     let now = node.now();
     let mut ended = Vec::new();
-    let next_due = node.room.with_queue(service, |held| {
+    let next_due = node.admission.with_queue(service, |held| {
         for fate in held.queue.advance(now, &view) {
             let (number, end) = match fate {
                 WaitOutcome::Admit(number) => (number, Ok(())),
@@ -179,7 +179,7 @@
         }
         next_due
     });
-    node.room.waiting.fetch_sub(ended.len(), Ordering::Relaxed);
+    node.admission.waiting.fetch_sub(ended.len(), Ordering::Relaxed);
     for (sender, end) in ended {
         // The guard of a caller that leaves just now gives its place back.
         let _ = sender.send(end);
@@ -189,12 +189,12 @@
 
 /// Looks after the queue of a service until nobody waits.
 async fn drive(node: Arc<EntryNode>, service: Name) {
-    let wake = node.room.with_queue(&service, |held| held.wake.clone());
-    while !node.room.with_queue(&service, ServiceQueue::is_left) {
+    let wake = node.admission.with_queue(&service, |held| held.wake.clone());
+    while !node.admission.with_queue(&service, ServiceQueue::is_left) {
         let next_due = advance(&node, &service);
         let now = node.now();
         let pause = next_due.map_or(Duration::ZERO, |due| due.since(now)).clamp(LEAST_PAUSE, LOOK_INTERVAL);
-        node.room.with_queue(&service, |held| held.looks_at = now + pause);
+        node.admission.with_queue(&service, |held| held.looks_at = now + pause);
         // Either way it is time to look again.
         let _ = clock::timeout(pause, wake.notified()).await;
     }
--- a/crates/trestlerackd/src/entry/room/wait.rs
+++ b/crates/trestlerackd/src/entry/room/wait.rs
@@ -41,7 +41,7 @@
             }
         };
         if has_place {
-            self.node.room.with_queue(&self.service, |held| held.queue.finish_dispatch());
+            self.node.admission.with_queue(&self.service, |held| held.queue.finish_dispatch());
             // Another one may have the place if this call did not take it.
             super::place_freed(&self.node, &self.service);
         }
@@ -50,10 +50,10 @@
 
 /// Takes a call out of the queue if it still waits there.
 fn leave(node: &EntryNode, service: &Name, id: QueuedCallId) {
-    node.room.with_queue(service, |held| {
+    node.admission.with_queue(service, |held| {
         held.queue.remove(id);
         if held.ends.remove(&id).is_some() {
-            node.room.waiting.fetch_sub(1, Ordering::Relaxed);
+            node.admission.waiting.fetch_sub(1, Ordering::Relaxed);
         }
     });
 }
@@ -67,13 +67,13 @@
     let view = view(node, service);
     let (now, about) = (node.now(), call.clone());
     let mut ending = None;
-    let (admission, length) = node.room.with_queue(service, |held| {
+    let (admission, length) = node.admission.with_queue(service, |held| {
         let length = held.queue.len();
         let admission = held.queue.submit(now, call, &view);
         if let AdmissionDecision::Wait { id, .. } = admission {
             let (sender, receiver) = oneshot::channel();
             held.ends.insert(id, sender);
-            node.room.waiting.fetch_add(1, Ordering::Relaxed);
+            node.admission.waiting.fetch_add(1, Ordering::Relaxed);
             ending = Some((receiver, !std::mem::replace(&mut held.is_driven, true)));
         }
         (admission, length)
@@ -141,7 +141,7 @@
 }
 
 fn log_refusal(node: &EntryNode, service: &Name, call: &WaitingCall, refusal: CallRefusal, estimate: &WaitEstimate) {
-    let length = node.room.with_queue(service, |held| {
+    let length = node.admission.with_queue(service, |held| {
         held.counts.add(refusal.reason, call.customer.as_ref());
         held.queue.len()
     });
--- a/crates/trestlerackd/src/entry/server_feed.rs
+++ b/crates/trestlerackd/src/entry/server_feed.rs
@@ -96,7 +96,7 @@
     if node.levels.passes_on() {
         node.levels.hold_whole(platform::SERVER_TABLE);
     }
-    node.has_registry.store(true, Ordering::Relaxed);
+    node.has_read_registry.store(true, Ordering::Relaxed);
     logs::write(event::SERVERS_READ, &[("count", &count)]);
 }
 
--- a/crates/trestlerackd/src/entry/status.rs
+++ b/crates/trestlerackd/src/entry/status.rs
@@ -116,7 +116,7 @@
         SERVERS_PATH => serde_json::to_vec(&servers(node)),
         ROOM_PATH => serde_json::to_vec(&room::lines(node)),
         LEVEL_PATH => serde_json::to_vec(&[level(node)]),
-        MEMORY_PATH => serde_json::to_vec(&held::memory_lines(&node.held)),
+        MEMORY_PATH => serde_json::to_vec(&held::memory_lines(&node.resource_limits)),
         _ => return None,
     };
     lines.ok()
--- a/crates/trestlerackd/src/entry/stop.rs
+++ b/crates/trestlerackd/src/entry/stop.rs
@@ -24,12 +24,12 @@
 /// Stops as planned.
 pub async fn stop_as_planned(node: &Arc<EntryNode>) {
     let started = node.now();
-    let limit = node.bounds().stop_limit.saturating_sub(EXIT_MARGIN);
+    let limit = node.live_settings().stop_limit.saturating_sub(EXIT_MARGIN);
     let connections = || node.client_connections.load(Ordering::Relaxed);
     let jobs = || node.drivers.lock().unwrap().len();
     logs::write(event::STOP_BEGUN, &[("in_progress", &connections()), ("jobs", &jobs())]);
     node.stopping.send_replace(true);
-    node.job_news.send_modify(|count| *count += 1);
+    node.job_changes.send_modify(|count| *count += 1);
     for driver in node.drivers.lock().unwrap().values() {
         driver.hand_over();
     }
--- a/crates/trestlerackd/src/entry/store.rs
+++ b/crates/trestlerackd/src/entry/store.rs
@@ -18,34 +18,35 @@
 use trestlerack::{Name, event, time::millis};
 use trestlerack_platform as platform;
 
-/// Time after which a call counts as lost. A slow store takes 60 times its 4 to 8 ms.
+/// Timeout of a store call. A slow store takes 60 times its usual 4 to 8 ms.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Time after which a direct call is given up where a peer may do better.
+/// Timeout of a direct call when peers could relay it instead.
 const DIRECT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Interval at which the direct way is tried again after it failed.
+/// Interval between direct calls that test whether the store serves this node again.
 const PROBE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Longest time until a node notices that its direct way is in doubt, should it miss the news.
-const LOST_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval at which the state of direct access is checked, in case its notification is missed.
+const ACCESS_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Peers that may leave the outcome of one call open; each takes a time limit.
-const RELAY_DOUBTS: usize = 2;
+/// Number of peers with an unknown outcome after which a call is not relayed again, because each of them
+/// may take the whole timeout.
+const MAX_UNKNOWN_OUTCOMES: usize = 2;
 
-/// Longest reply, in bytes; the store's pages are 1 MB before their encoding.
-const MAX_REPLY: usize = 8 * 1024 * 1024;
+/// Maximum size of a reply, in bytes. The store's pages are 1 MB before encoding.
+const MAX_REPLY_BYTES: usize = 8 * 1024 * 1024;
 
-/// The store at its own address.
+/// Client that calls the store at its own address.
 pub struct DirectStore {
     pool: Arc<ConnectionPool>,
     address: Name,
-    /// Counts calls.
+    /// Number of calls sent.
     pub calls: AtomicU64,
 }
 
 impl DirectStore {
-    /// Builds a client of the store at `address`.
+    /// Creates a client of the store at `address`.
     pub fn new(pool: Arc<ConnectionPool>, address: Name) -> Self {
         Self { pool, address, calls: AtomicU64::new(0) }
     }
@@ -56,26 +57,27 @@
         request.headers_mut().insert(header::HOST, host);
         self.calls.fetch_add(1, Ordering::Relaxed);
         let (response, lease) = match self.pool.send(&self.address, request, false).await {
-            Ok(answer) => answer,
+            Ok(response) => response,
             Err(ExchangeError::NotSent(_)) => return Err(StoreError::Unavailable),
             Err(ExchangeError::NoAnswer(_)) => return Err(StoreError::Unknown),
         };
         let (parts, body) = response.into_parts();
         let head = platform::decode_reply_head(&parts.headers);
-        let body = Limited::new(body, MAX_REPLY).collect().await.map_err(|_| StoreError::Unknown)?.to_bytes();
+        let body = Limited::new(body, MAX_REPLY_BYTES).collect().await.map_err(|_| StoreError::Unknown)?.to_bytes();
         if !head.is_closing {
             self.pool.keep(lease, head.idle_limit);
         }
         platform::decode_reply(call, parts.status, body)
     }
 
-    /// Makes a call within `limit`.
+    /// Makes a call with a timeout. A call that times out may have been applied, so it returns
+    /// [`StoreError::Unknown`].
     pub async fn call_within(&self, call: &StoreCall, limit: Duration) -> Result<StoreReply, StoreError> {
         clock::timeout(limit, self.exchange(call)).await.unwrap_or(Err(StoreError::Unknown))
     }
 }
 
-/// Returns how long a call may take, including the wait that it asks for.
+/// Returns the timeout of a call, including the time for which a watch waits for changes.
 fn time_limit(call: &StoreCall, base: Duration) -> Duration {
     match call {
         StoreCall::Watch { wait_ms, .. } => base + Duration::from_millis(*wait_ms),
@@ -83,7 +85,7 @@
     }
 }
 
-/// Returns the kind of a call and the partition, table or object that it is for, for the log.
+/// Returns the kind of a call and its partition, table or object, for the log.
 fn describe(call: &StoreCall) -> (&'static str, Name) {
     match call {
         StoreCall::Commit(transaction) => ("commit", transaction.partition.clone()),
@@ -96,86 +98,88 @@
     }
 }
 
-/// The store, through a peer while it refuses this node or cannot be reached.
+/// Client that calls the store directly, or through a peer while the store is unavailable to this node.
 pub struct RelayedStore {
     direct: Arc<DirectStore>,
     peers: Arc<PeerClient>,
-    /// Whether the direct way is to be used; if not, peers are asked first until a probe succeeds.
-    way: Mutex<DirectWay>,
-    time: SystemClock,
-    /// Tells that the direct way is in doubt from now on.
-    way_lost: Notify,
-    clock: Mutex<Option<StoreClock>>,
+    /// Whether direct calls come first; if not, peers are asked first until a probe succeeds.
+    direct_access: Mutex<DirectWay>,
+    monotonic_clock: SystemClock,
+    /// Notified when direct access is lost.
+    access_lost: Notify,
+    store_clock: Mutex<Option<StoreClock>>,
 }
 
-/// The store's clock, as of a reply.
+/// Reading of the store's clock.
 #[derive(Clone, Copy)]
 struct StoreClock {
     moment: StoreMoment,
-    /// Time since boot of the reply.
-    at: Duration,
+    /// Time since boot at which the reply arrived.
+    replied_at: Duration,
 }
 
 impl RelayedStore {
-    /// Builds the client.
+    /// Creates a client on top of a direct client and the peers.
     pub fn new(direct: Arc<DirectStore>, peers: Arc<PeerClient>) -> Self {
         Self {
             direct,
             peers,
-            way: Mutex::default(),
-            time: SystemClock::new(),
-            way_lost: Notify::new(),
-            clock: Mutex::new(None),
+            direct_access: Mutex::default(),
+            monotonic_clock: SystemClock::new(),
+            access_lost: Notify::new(),
+            store_clock: Mutex::new(None),
         }
     }
 
-    /// Waits before a call is made again that failed `failures` times in a row: for `pause`, or for
-    /// longer where the store refused it for its rate, but not beyond the moment from which peers
-    /// are asked instead.
-    pub async fn pause_after(&self, error: StoreError, failures: u32, pause: Duration) {
+    /// Waits before the retry of a call that failed `failures` times in a row. Waits for `pause`, or for the
+    /// longer rate limit backoff if the store rejected the call for its rate. That backoff ends early
+    /// when direct access is lost, because peers are asked from then on.
+    pub async fn wait_before_retry(&self, error: StoreError, failures: u32, pause: Duration) {
         match error {
             StoreError::RateLimited => {
-                let is_lost = self.way_lost.notified();
-                // Ends with the pause or with the news; both lead to another try.
-                let _ = clock::timeout(rate_limit_backoff(failures, rand::random()), is_lost).await;
+                let lost = self.access_lost.notified();
+                // Either outcome, the timeout or the notification, leads to a retry.
+                let _ = clock::timeout(rate_limit_backoff(failures, rand::random()), lost).await;
             }
             StoreError::Unavailable | StoreError::Unknown => clock::sleep(pause).await,
         }
     }
 
-    /// Returns whether the store does not serve this node, so that peers are asked first.
+    /// Returns whether peers are asked first because the store does not serve this node.
     pub fn is_doubtful(&self) -> bool {
-        self.way.lock().unwrap().is_doubtful()
+        self.direct_access.lock().unwrap().is_doubtful()
     }
 
-    /// Returns the time on the store's clock, in milliseconds, or 0 before the first reply.
+    /// Returns the estimated time on the store's clock, in milliseconds, or 0 before the first reply.
     pub fn clock_ms(&self) -> u64 {
-        let seen = *self.clock.lock().unwrap();
-        seen.map_or(0, |seen| seen.moment.clock_ms + millis(clock::since_boot().saturating_sub(seen.at)))
+        let reading = *self.store_clock.lock().unwrap();
+        reading.map_or(0, |reading| {
+            reading.moment.clock_ms + millis(clock::since_boot().saturating_sub(reading.replied_at))
+        })
     }
 
     async fn call_direct(&self, call: &StoreCall, limit: Duration) -> Result<StoreReply, StoreError> {
-        let sent_at = self.time.now();
+        let sent_at = self.monotonic_clock.now();
         let reply = self.direct.call_within(call, time_limit(call, limit)).await;
-        let now = self.time.now();
+        let now = self.monotonic_clock.now();
         let failure = reply.as_ref().err().copied();
-        let change = self.way.lock().unwrap().note(sent_at, now, failure);
+        let change = self.direct_access.lock().unwrap().note(sent_at, now, failure);
         match (change, failure) {
             (Some(WayChange::Regained), _) => logs::write(event::STORE_REGAINED, &[]),
             (Some(WayChange::Lost), Some(error)) => {
-                let (kind, place) = describe(call);
+                let (kind, target) = describe(call);
                 let ms = now.since(sent_at).as_millis();
                 let fields: [(&str, &dyn std::fmt::Display); 4] =
-                    [("call", &kind), ("place", &place), ("why", &error), ("ms", &ms)];
+                    [("call", &kind), ("place", &target), ("why", &error), ("ms", &ms)];
                 logs::write(event::STORE_LOST, &fields);
-                self.way_lost.notify_waiters();
+                self.access_lost.notify_waiters();
             }
             _ => {}
         }
         reply
     }
 
-    /// Tries the direct way again while it is in doubt, until the process ends.
+    /// Probes the store with direct calls while direct access is lost. Runs until the process ends.
     pub async fn probe_direct(&self) {
         let call = StoreCall::Read {
             table: tables::STATE.into(),
@@ -186,50 +190,50 @@
         };
         loop {
             if !self.is_doubtful() {
-                // The news may come just before this, and is then seen after the pause.
-                let _ = clock::timeout(LOST_INTERVAL, self.way_lost.notified()).await;
+                // A notification just before this is missed; the check then follows the timeout.
+                let _ = clock::timeout(ACCESS_CHECK_INTERVAL, self.access_lost.notified()).await;
             }
             clock::sleep(PROBE_INTERVAL).await;
             if self.is_doubtful() {
-                // The outcome is noted by the call itself.
+                // `call_direct` records the outcome.
                 let _ = self.call_direct(&call, DIRECT_TIMEOUT).await;
             }
         }
     }
 
     async fn call_relayed(&self, call: &StoreCall) -> Result<StoreReply, StoreError> {
-        let (mut worst, mut doubts) = (StoreError::Unavailable, 0);
+        let (mut error, mut unknown_outcomes) = (StoreError::Unavailable, 0);
         for peer in self.peers.pick_relays() {
             match self.peers.relay(&peer, call, time_limit(call, CALL_TIMEOUT)).await {
                 Ok(reply) => return Ok(reply),
                 Err(StoreError::Unknown) => {
-                    worst = StoreError::Unknown;
-                    doubts += 1;
-                    if doubts == RELAY_DOUBTS {
+                    error = StoreError::Unknown;
+                    unknown_outcomes += 1;
+                    if unknown_outcomes == MAX_UNKNOWN_OUTCOMES {
                         break;
                     }
                 }
                 Err(StoreError::Unavailable) => {}
-                // The store serves that peer, so another one would be refused too.
-                Err(StoreError::RateLimited) if worst == StoreError::Unavailable => {
+                // The store serves that peer, so it would apply the same rate limit to other peers.
+                Err(StoreError::RateLimited) if error == StoreError::Unavailable => {
                     return Err(StoreError::RateLimited);
                 }
-                Err(StoreError::RateLimited) => return Err(worst),
+                Err(StoreError::RateLimited) => return Err(error),
             }
         }
-        Err(worst)
+        Err(error)
     }
 
-    fn note(&self, reply: &Result<StoreReply, StoreError>) {
+    fn record_clock(&self, reply: &Result<StoreReply, StoreError>) {
         let moment = match reply {
             Ok(StoreReply::Committed(moment) | StoreReply::Rows { moment, .. }) => *moment,
             Ok(StoreReply::Partitions { moment, .. }) => *moment,
             _ => return,
         };
-        let mut clock = self.clock.lock().unwrap();
-        // Replies may overtake each other, and the clock only goes forward.
-        if clock.is_none_or(|held| held.moment.clock_ms <= moment.clock_ms) {
-            *clock = Some(StoreClock { moment, at: clock::since_boot() });
+        let mut store_clock = self.store_clock.lock().unwrap();
+        // Replies may arrive out of order; an older reading is ignored.
+        if store_clock.is_none_or(|latest| latest.moment.clock_ms <= moment.clock_ms) {
+            *store_clock = Some(StoreClock { moment, replied_at: clock::since_boot() });
         }
     }
 }
@@ -242,30 +246,31 @@
             match self.call_relayed(call).await {
                 Ok(reply) => Ok(reply),
                 Err(StoreError::RateLimited) => Err(StoreError::RateLimited),
-                // This node's way is shut, whatever status says so, and peers may serve the next try.
+                // The store rejects every call of this node, also with the status of a rate limit. Peers may
+                // serve the next attempt, so the error is theirs.
                 Err(relayed) => match self.call_direct(call, DIRECT_TIMEOUT).await {
                     Err(StoreError::RateLimited) => Err(relayed),
-                    direct => merge(direct, relayed),
+                    direct => combine_results(direct, relayed),
                 },
             }
         } else {
             let limit = if has_peers { DIRECT_TIMEOUT } else { CALL_TIMEOUT };
             match self.call_direct(call, limit).await {
                 Ok(reply) => Ok(reply),
-                // Unless the store refuses all calls of this node, peers would be refused as well.
+                // A rate limit also applies to peers, unless the store rejects every call of this node.
                 Err(StoreError::RateLimited) if !self.is_doubtful() => Err(StoreError::RateLimited),
-                Err(direct) if has_peers => merge(self.call_relayed(call).await, direct),
+                Err(direct) if has_peers => combine_results(self.call_relayed(call).await, direct),
                 Err(direct) => Err(direct),
             }
         };
-        self.note(&reply);
+        self.record_clock(&reply);
         reply
     }
 }
 
-/// Joins the results of two ways of making one call: if one way may have applied it, a failure of
-/// the other cannot say that nothing was done.
-fn merge(second: Result<StoreReply, StoreError>, first: StoreError) -> Result<StoreReply, StoreError> {
+/// Combines the results of two attempts at one call. If the first may have applied the call, a failure
+/// of the second does not prove that nothing was done, so the outcome is unknown.
+fn combine_results(second: Result<StoreReply, StoreError>, first: StoreError) -> Result<StoreReply, StoreError> {
     match (second, first) {
         (Err(StoreError::Unavailable | StoreError::RateLimited), StoreError::Unknown) => Err(StoreError::Unknown),
         (second, _) => second,
--- a/crates/trestlerackd/src/entry/streams.rs
+++ b/crates/trestlerackd/src/entry/streams.rs
@@ -46,7 +46,7 @@
     mut trail: RequestTrail,
 ) -> Response<ReplyBody> {
     let resume_after = request.head.resume_after;
-    let Ok(held) = node.held.ledger.try_reserve(MemoryPurpose::Streams, STREAM_BYTES) else {
+    let Ok(held) = node.resource_limits.ledger.try_reserve(MemoryPurpose::Streams, STREAM_BYTES) else {
         let reply = plain::failure_reply(&request, &Shortfall::NotRun, true);
         trail.answered(reply.status());
         return reply;
--- a/crates/trestlerackd/src/entry/suspects/desk.rs
+++ b/crates/trestlerackd/src/entry/suspects/desk.rs
@@ -128,7 +128,7 @@
     /// Takes changes for one transaction.
     pub(super) fn take_unstored(&self) -> Vec<(StrikeKey, RowChange)> {
         let mut unstored = self.unstored.lock().unwrap();
-        let keys: Vec<StrikeKey> = unstored.keys().take(tables::COMMIT_ROWS).copied().collect();
+        let keys: Vec<StrikeKey> = unstored.keys().take(tables::MAX_COMMIT_ROWS).copied().collect();
         keys.into_iter().filter_map(|key| unstored.remove(&key).map(|change| (key, change))).collect()
     }
 
--- a/crates/trestlerackd/src/entry/suspects/gossip.rs
+++ b/crates/trestlerackd/src/entry/suspects/gossip.rs
@@ -50,14 +50,14 @@
     loop {
         node.suspects.has_untold.notified().await;
         let notes = node.suspects.take_untold();
-        let chosen = gossip.pick_push_peers(&node.peers.others(), &mut rand::rng());
+        let chosen = gossip.pick_push_peers(&node.peers.peer_addresses(), &mut rand::rng());
         join_all(chosen.iter().map(|peer| exchange(&node, peer, &notes))).await;
     }
 }
 
 async fn exchange(node: &Arc<EntryNode>, peer: &Name, notes: &[CrashReport]) {
     // A peer that does not answer hears of it from others, or asks for it.
-    if let Some(answer) = node.peers.tell_strikes(peer, notes).await {
+    if let Some(answer) = node.peers.exchange_crash_reports(peer, notes).await {
         learn_from_peer(node, &answer);
     }
 }
@@ -68,7 +68,7 @@
     let gossip = GossipSettings::default();
     loop {
         if node.suspects.is_cut_off() {
-            let peer = gossip.pick_pull_peer(&node.peers.others(), &mut rand::rng());
+            let peer = gossip.pick_pull_peer(&node.peers.peer_addresses(), &mut rand::rng());
             if let Some(peer) = peer {
                 exchange(&node, &peer, &newest_notes(&node)).await;
             }
--- a/crates/trestlerackd/src/entry/suspects/rows.rs
+++ b/crates/trestlerackd/src/entry/suspects/rows.rs
@@ -100,7 +100,7 @@
             }
             failures += 1;
             node.suspects.return_unstored(changes);
-            node.store.pause_after(error, failures, failure_backoff(failures, rand::random())).await;
+            node.store.wait_before_retry(error, failures, failure_backoff(failures, rand::random())).await;
         }
     }
 }
@@ -137,7 +137,7 @@
     // A content is held until `life` after its last strike, so the ones before may be twice as old.
     let is_over = |(place, (at_ms, _)): &(usize, &(u64, Name))| *place < surplus || at_ms + 2 * life_ms <= clock_ms;
     let over: Vec<&Name> = dated.iter().enumerate().filter(is_over).map(|(_, (_, key))| key).collect();
-    for keys in over.chunks(tables::COMMIT_ROWS) {
+    for keys in over.chunks(tables::MAX_COMMIT_ROWS) {
         let transaction =
             keys.iter().fold(RowTransaction::new(tables::SUSPECTS), |tx, key| tx.remove(tables::STATE, key));
         node.store.call(&StoreCall::Commit(transaction)).await?;
--- a/crates/trestlerackd/src/entry/suspects/trials.rs
+++ b/crates/trestlerackd/src/entry/suspects/trials.rs
@@ -24,7 +24,7 @@
     let server = &ticket.server.instance;
     let is_granted = match keeper(node, server) {
         None => Some(grant_trial(node, server, ticket.fingerprint)),
-        Some(address) => node.peers.ask_trial(&address, server, ticket.fingerprint).await,
+        Some(address) => node.peers.request_trial(&address, server, ticket.fingerprint).await,
     };
     if is_granted == Some(false) {
         ticket.share_trial();
--- a/crates/trestlerackd/src/entry/tables.rs
+++ b/crates/trestlerackd/src/entry/tables.rs
@@ -1,6 +1,6 @@
-//! The system's own tables in the store, and helpers to write and read them.
+//! Tables of the entry service in the store, and helpers to read and write them.
 //!
-//! Who writes which row under which condition stands in
+//! The writers and conditions of each row are described in
 //! [docs/PLATFORM.md](../../../../docs/PLATFORM.md).
 
 use bytes::Bytes;
@@ -10,7 +10,7 @@
 use trestlerack::interfaces::StoreError;
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall, StoreReply, StoredRow};
 
-/// Small rows that every node watches: heads and ends of jobs, nodes, assignments, the lease.
+/// Small rows that every node watches: job records, ends of jobs, nodes, engine assignments and the lease.
 pub const STATE: &str = "state";
 
 /// Results of jobs, one or more rows for each position.
@@ -19,15 +19,16 @@
 /// Submissions of jobs.
 pub const SPECS: &str = "specs";
 
-/// Texts of jobs that have no result yet: what was generated while the job is driven, under
-/// [`KEPT_LOG`], and what its driver left, under [`KEPT_END`].
-pub const KEPT: &str = "kept";
+/// Checkpoints of items without a result: texts generated while the job is driven have keys with the
+/// prefix [`CHECKPOINT_LOG`], and those that its driver left at the end have the prefix
+/// [`FINAL_CHECKPOINT`].
+pub const CHECKPOINTS: &str = "kept";
 
-/// Begins the keys of what was generated since the row before.
-pub const KEPT_LOG: &str = "a-log";
+/// Key prefix of rows with the text generated since the previous row.
+pub const CHECKPOINT_LOG: &str = "a-log";
 
-/// Begins the keys of what a driver left; behind [`KEPT_LOG`] in key order.
-pub const KEPT_END: &str = "b-end";
+/// Key prefix of rows that a driver left at the end; sorts after [`CHECKPOINT_LOG`].
+pub const FINAL_CHECKPOINT: &str = "b-end";
 
 /// Partition of [`STATE`] that holds a row for each engine.
 pub const ENGINES: &str = "engines";
@@ -35,85 +36,89 @@
 /// Partition of [`STATE`] that holds the order lease.
 pub const LEASES: &str = "leases";
 
-/// Partition of [`STATE`] that holds a row for each server that ended under a request.
+/// Partition of [`STATE`] that holds a row for each server that crashed while it ran a request.
 pub const SUSPECTS: &str = "suspects";
 
 /// Key of the lease on weight orders.
 pub const ORDER_LEASE: &str = "orders";
 
-/// Table and partition of usage reports and of what nodes counted; no node watches it.
+/// Table and partition of usage reports and of the nodes' usage counts. No node watches it.
 pub const USAGE: &str = "usage";
 
-/// Table and partition of what engines were ordered from the platform; no node watches it.
+/// Table and partition of engines ordered from the platform. No node watches it.
 pub const ENGINE_ORDERS: &str = "engine-orders";
 
-/// Key of a job's head.
-pub const HEAD: &str = "head";
+/// Key of the record of a job.
+pub const JOB_RECORD: &str = "head";
 
 /// Key of the row that exists once a client has ended a job.
-pub const END: &str = "end";
+pub const JOB_END: &str = "end";
 
-/// Most rows of one page, a limit of the store.
-pub const PAGE_ROWS: usize = 500;
+/// Maximum rows of a page, a limit of the store.
+pub const MAX_PAGE_ROWS: usize = 500;
 
-/// Most rows written by one transaction; the store takes 100 entries, conditions included.
-pub const COMMIT_ROWS: usize = 90;
+/// Maximum rows written by a transaction. The store allows 100 entries, including conditions.
+pub const MAX_COMMIT_ROWS: usize = 90;
 
-/// Most bytes written by one transaction; the store takes 1 MB, and its encoding adds a third.
-pub const COMMIT_BYTES: usize = 600_000;
+/// Maximum bytes written by a transaction. The store allows 1 MB, and its encoding adds a third.
+pub const MAX_COMMIT_BYTES: usize = 600_000;
 
-/// Encodes a row's content.
+/// Encodes the content of a row as CBOR.
 pub fn encode(content: &impl Serialize) -> Bytes {
     let mut bytes = Vec::new();
-    // Writing to memory cannot fail, and every type that is stored can be encoded.
+    // Writing to memory cannot fail, and every stored type can be encoded.
     ciborium::into_writer(content, &mut bytes).expect("stored types can be encoded");
     bytes.into()
 }
 
-/// Decodes a row's content.
+/// Decodes the content of a row.
+///
+/// # Errors
+///
+/// Returns [`StoreError::Unknown`] for content of another type.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, StoreError> {
     ciborium::from_reader(bytes).map_err(|_| StoreError::Unknown)
 }
 
-/// Splits content into pieces that fit a row, and adds a write for each to a transaction.
+/// Splits content into chunks of at most `row_bytes`, and adds a write for each chunk to a transaction.
 ///
-/// The first piece has the key itself and the others have it with a number, so that they lie
-/// behind one another when they are read.
-pub fn put_pieces(
+/// The first chunk has the key itself. The others have the key with a numeric suffix, so that a read in
+/// key order returns all chunks one after another.
+pub fn put_chunked(
     mut transaction: RowTransaction,
     table: &str,
     key: &str,
     content: &Bytes,
     row_bytes: usize,
 ) -> RowTransaction {
-    let pieces = content.len().div_ceil(row_bytes).max(1);
-    for piece in 0..pieces {
-        let part = content.slice(piece * row_bytes..content.len().min((piece + 1) * row_bytes));
-        let key = if piece == 0 { key.to_owned() } else { format!("{key}.{piece:04}") };
-        transaction = transaction.put(table, &key, part);
+    let chunks = content.len().div_ceil(row_bytes).max(1);
+    for index in 0..chunks {
+        let chunk = content.slice(index * row_bytes..content.len().min((index + 1) * row_bytes));
+        let key = if index == 0 { key.to_owned() } else { format!("{key}.{index:04}") };
+        transaction = transaction.put(table, &key, chunk);
     }
     transaction
 }
 
-/// Joins the pieces of [`put_pieces`] again, in key order.
-pub fn join_pieces(rows: Vec<StoredRow>) -> Vec<(Name, Bytes)> {
+/// Joins the chunks written by [`put_chunked`]. Rows must be in key order.
+pub fn join_chunks(rows: Vec<StoredRow>) -> Vec<(Name, Bytes)> {
     let mut joined: Vec<(Name, Vec<Bytes>)> = Vec::new();
     for row in rows {
         match joined.last_mut() {
-            Some((key, pieces)) if row.key.len() > key.len() && row.key.starts_with(&format!("{key}.")) => {
-                pieces.push(row.value);
+            Some((key, chunks)) if row.key.len() > key.len() && row.key.starts_with(&format!("{key}.")) => {
+                chunks.push(row.value);
             }
             _ => joined.push((row.key, vec![row.value])),
         }
     }
-    let join = |pieces: Vec<Bytes>| match <[Bytes; 1]>::try_from(pieces) {
+    let join = |chunks: Vec<Bytes>| match <[Bytes; 1]>::try_from(chunks) {
         Ok([single]) => single,
-        Err(pieces) => Bytes::from(pieces.concat()),
+        Err(chunks) => Bytes::from(chunks.concat()),
     };
-    joined.into_iter().map(|(key, pieces)| (key, join(pieces))).collect()
+    joined.into_iter().map(|(key, chunks)| (key, join(chunks))).collect()
 }
 
-/// Reads one page of a partition.
+/// Reads one page of a partition from the key `from` on. Returns its rows and whether there are more.
 pub async fn read_page(
     store: &dyn RowStore,
     table: &str,
@@ -125,7 +130,7 @@
         partition: partition.into(),
         from: from.into(),
         to: "".into(),
-        limit: PAGE_ROWS,
+        limit: MAX_PAGE_ROWS,
     };
     match store.call(&call).await? {
         StoreReply::Rows { rows, more, .. } => Ok((rows, more)),
@@ -133,26 +138,26 @@
     }
 }
 
-/// Reads a whole partition.
+/// Reads all rows of a partition.
 pub async fn read_all(store: &dyn RowStore, table: &str, partition: &str) -> Result<Vec<StoredRow>, StoreError> {
     read_from(store, table, partition, "").await
 }
 
-/// Reads a partition from a key on.
+/// Reads all rows of a partition from the key `first` on.
 pub async fn read_from(
     store: &dyn RowStore,
     table: &str,
     partition: &str,
     first: &str,
 ) -> Result<Vec<StoredRow>, StoreError> {
-    let mut all: Vec<StoredRow> = Vec::new();
+    let mut rows: Vec<StoredRow> = Vec::new();
     loop {
-        let from = all.last().map_or_else(|| first.to_owned(), |row| format!("{}\u{1}", row.key));
-        let (rows, more) = read_page(store, table, partition, &from).await?;
-        let is_over = !more || rows.is_empty();
-        all.extend(rows);
-        if is_over {
-            return Ok(all);
+        let from = rows.last().map_or_else(|| first.to_owned(), |row| format!("{}\u{1}", row.key));
+        let (page, more) = read_page(store, table, partition, &from).await?;
+        let is_last_page = !more || page.is_empty();
+        rows.extend(page);
+        if is_last_page {
+            return Ok(rows);
         }
     }
 }
--- a/crates/trestlerackd/src/entry/weight_orders.rs
+++ b/crates/trestlerackd/src/entry/weight_orders.rs
@@ -1,4 +1,4 @@
-//! Brings engines to the weight versions that trainers name, on the holder of the order lease.
+//! Orders engines to load the weight versions that trainers publish. Runs on the lease holder.
 
 use super::engine_calls::{self, ORDER_TIMEOUT};
 use super::node::EntryNode;
@@ -19,117 +19,119 @@
 use trestlerack::{Name, Timestamp, event};
 use trestlerack_platform::EngineReport;
 
-/// Time between the row that tells of an order and its acceptance from which the row is corrected,
-/// in milliseconds; nodes reckon the end of the load from it.
-const LATE_ORDER_MS: u64 = 60;
+/// Delay between the row that announces an order and its acceptance from which the row is corrected, in
+/// milliseconds. Nodes compute the end of the load from the time in the row.
+const CORRECTION_DELAY_MS: u64 = 60;
 
-/// Longest time between two looks at all engines of a service while none of them changes.
+/// Maximum time between two updates of a scheduler while no engine changes.
 const SYNC_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The plan of a service's weights, and as of when it knows the engines.
-pub struct ServicePlan {
-    plan: WeightPlan,
+/// Schedules weight loads of one service.
+pub struct ServiceScheduler {
+    scheduler: WeightPlan,
     synced_at: Option<Timestamp>,
-    /// Changes of the registry that it has seen.
+    /// Change counter of the registry at the last update.
     changes: u64,
 }
 
-/// Orders and questions that are on their way to engines. Dropping them ends the waits for answers.
+/// Running tasks that order and poll engines. Dropping them cancels the waits for replies.
 #[derive(Default)]
 pub struct OrderTasks {
-    tasks: JoinSet<TaskEnd>,
-    ended: Vec<TaskEnd>,
+    tasks: JoinSet<TaskResult>,
+    results: Vec<TaskResult>,
 }
 
 impl OrderTasks {
-    /// Waits until one has ended; for ever while there is none.
+    /// Waits until a task has ended, or forever while there is none.
     pub async fn wait(&mut self) {
         match self.tasks.join_next().await {
-            Some(Ok(end)) => self.ended.push(end),
-            // A task ends otherwise only with the process.
+            Some(Ok(result)) => self.results.push(result),
+            // A task fails only when the process ends.
             Some(Err(_)) => {}
             None => future::pending().await,
         }
     }
 }
 
-/// An order with all that it takes to carry it out.
+/// An order with everything needed to carry it out.
 struct PlannedOrder {
     service: Name,
     engine: ServerEntry,
     order: DueOrder,
     orders_before: u64,
-    terms: OrderTerms,
-    /// The row that tells of it.
+    options: OrderOptions,
+    /// Row that announces the order.
     intent: EngineAssignment,
-    /// The row before.
-    before: Option<EngineAssignment>,
+    /// Row before the order.
+    previous: Option<EngineAssignment>,
 }
 
-/// How a task ended.
-enum TaskEnd {
-    /// The rows were written that tell of orders, or the orders are not to be sent.
-    Told(Vec<PlannedOrder>, bool),
-    /// An engine was asked for its report.
-    Asked(Name, DueOrder, Option<EngineReport>),
+/// Result of a task.
+enum TaskResult {
+    /// Whether the rows that announce orders were written; if not, the orders must not be sent.
+    Announced(Vec<PlannedOrder>, bool),
+    /// An engine was polled for its report; `None` if it did not answer.
+    Polled(Name, DueOrder, Option<EngineReport>),
     /// An engine was sent an order.
     Sent(Box<PlannedOrder>, OrderOutcome),
-    /// Rows were written again that told of what did not come so.
+    /// Rows were corrected whose orders did not turn out as announced.
     Corrected(Vec<(PlannedOrder, OrderOutcome)>),
 }
 
-/// Decides which engines load next, and has them ordered under the lease of `fence`. Does not wait for
-/// their answers: an engine that gives none took 0.8 s from all others and from the lease itself.
+/// Decides which engines load next, and starts tasks that order them under the lease with the token
+/// `fence`. Does not wait for replies, because an engine that does not reply would delay all others and the
+/// renewal of the lease by 0.8 s.
 pub async fn order_engines(
     node: &Arc<EntryNode>,
     routing: &RoutingTable,
     fence: u64,
-    plans: &mut BTreeMap<Name, ServicePlan>,
+    schedulers: &mut BTreeMap<Name, ServiceScheduler>,
     running: &mut OrderTasks,
 ) {
-    take_ends(node, plans, running);
+    process_results(node, schedulers, running);
     let mut planned: Vec<PlannedOrder> = Vec::new();
     for service in routing.services.values().filter(|service| !service.models.is_empty()) {
-        let service_plan = plans.entry(service.name.clone()).or_insert_with(|| ServicePlan::new(&node.settings));
-        divide_engines(node, service_plan, service).await;
-        let plan = &mut service_plan.plan;
-        let orders = due_orders(node, plan);
-        let waits_for_runs = wants_single_versions(routing, &service.name);
-        let terms = OrderTerms { fence, load_time: plan.load_time(), waits_for_runs };
+        let service_scheduler =
+            schedulers.entry(service.name.clone()).or_insert_with(|| ServiceScheduler::new(&node.settings));
+        update_scheduler(node, service_scheduler, service).await;
+        let scheduler = &mut service_scheduler.scheduler;
+        let orders = due_orders(node, scheduler);
+        let waits_for_runs = requires_single_version(routing, &service.name);
+        let options = OrderOptions { fence, load_time: scheduler.load_time(), waits_for_runs };
         for order in orders {
             let Some(engine) = node.registry.lock().unwrap().get(&order.instance).cloned() else {
-                plan.unreachable(node.now(), &order.instance);
+                scheduler.unreachable(node.now(), &order.instance);
                 continue;
             };
             match order.orders_before {
                 Some(orders_before) => {
-                    planned.push(plan_order(node, service.name.clone(), engine, order, orders_before, terms));
+                    planned.push(plan_order(node, service.name.clone(), engine, order, orders_before, options));
                 }
                 None => {
                     let (node, service) = (node.clone(), service.name.clone());
                     running.tasks.spawn(async move {
                         let report = engine_calls::ask_report(&node, &engine).await;
-                        TaskEnd::Asked(service, order, report)
+                        TaskResult::Polled(service, order, report)
                     });
                 }
             }
         }
     }
-    // Together: a transaction for each order would wait for those of all others in their partition.
+    // Orders are batched because separate transactions in one partition would wait for each other.
     while !planned.is_empty() {
-        let batch: Vec<PlannedOrder> = planned.drain(..planned.len().min(tables::COMMIT_ROWS)).collect();
+        let batch: Vec<PlannedOrder> = planned.drain(..planned.len().min(tables::MAX_COMMIT_ROWS)).collect();
         let node = node.clone();
         running.tasks.spawn(async move {
             let rows: Vec<_> = batch.iter().map(|planned| planned.row(planned.intent.clone())).collect();
-            let is_told = write_assignments(&node, &rows).await;
-            TaskEnd::Told(batch, is_told)
+            let is_announced = write_assignments(&node, &rows).await;
+            TaskResult::Announced(batch, is_announced)
         });
     }
 }
 
-impl ServicePlan {
+impl ServiceScheduler {
     fn new(settings: &EntrySettings) -> Self {
-        Self { plan: WeightPlan::new(plan_settings(settings)), synced_at: None, changes: 0 }
+        Self { scheduler: WeightPlan::new(scheduler_settings(settings)), synced_at: None, changes: 0 }
     }
 }
 
@@ -139,39 +141,39 @@
     }
 }
 
-/// Returns whether a route of a service wants each answer from one version, so that runs end before a
-/// load begins.
-fn wants_single_versions(routing: &RoutingTable, service: &Name) -> bool {
+/// Returns whether a route of a service requires each response to come from a single version, so that
+/// runs must end before a load begins.
+fn requires_single_version(routing: &RoutingTable, service: &Name) -> bool {
     let is_of_service = |route: &RequestRoute| route.shares.iter().any(|share| share.service == *service);
     routing.routes().any(|route| route.single_version && is_of_service(route))
 }
 
-/// Tells a plan what is wanted and what is there, and tells the nodes that drive jobs which engines it gave to a
-/// model.
-async fn divide_engines(node: &Arc<EntryNode>, service_plan: &mut ServicePlan, service: &RoutedService) {
-    let plan = &mut service_plan.plan;
-    let named = node.weights.named_versions();
-    for (model, version) in named.iter().filter(|(model, _)| service.models.contains(model)) {
-        plan.target(model, *version);
-        plan.allow_lag(model, node.accepted_lag(model));
+/// Updates a scheduler with the published versions and the registered engines, and publishes which model it
+/// assigned to which engine for the nodes that drive jobs.
+async fn update_scheduler(node: &Arc<EntryNode>, service_scheduler: &mut ServiceScheduler, service: &RoutedService) {
+    let scheduler = &mut service_scheduler.scheduler;
+    let versions = node.weights.newest_versions();
+    for (model, version) in versions.iter().filter(|(model, _)| service.models.contains(model)) {
+        scheduler.target(model, *version);
+        scheduler.allow_lag(model, node.accepted_lag(model));
     }
     let now = node.now();
-    let decided = {
+    let assigned = {
         let registry = node.registry.lock().unwrap();
-        let is_old = service_plan.synced_at.is_none_or(|at| now.since(at) >= SYNC_INTERVAL);
-        if registry.changes() == service_plan.changes && !is_old {
+        let is_old = service_scheduler.synced_at.is_none_or(|at| now.since(at) >= SYNC_INTERVAL);
+        if registry.changes() == service_scheduler.changes && !is_old {
             return;
         }
-        (service_plan.synced_at, service_plan.changes) = (Some(now), registry.changes());
+        (service_scheduler.synced_at, service_scheduler.changes) = (Some(now), registry.changes());
         let engines: Vec<&ServerEntry> =
             registry.of_service(&service.name).filter(|entry| !entry.is_draining).collect();
         let slots = engines.iter().map(|entry| entry.slots).min().unwrap_or(0);
         for model in &service.models {
-            plan.need(model, engines_needed(node.open_items(model), slots));
+            scheduler.need(model, engines_needed(node.open_items(model), slots));
         }
-        plan.sync(now, &service.models, &engines, &node.weights.assignments())
+        scheduler.sync(now, &service.models, &engines, &node.weights.assignments())
     };
-    let decided: Vec<(Name, EngineAssignment)> = decided
+    let assigned: Vec<(Name, EngineAssignment)> = assigned
         .into_iter()
         .map(|(instance, model)| {
             let holder = node.settings.name.clone();
@@ -179,93 +181,93 @@
             (instance, EngineAssignment { model, version, ordered_ms, tried_ms, holder, load_ms })
         })
         .collect();
-    decided.iter().for_each(|(instance, assignment)| feeds::learn_assignment(node, instance, assignment.clone()));
-    // Together, since a start decides on many engines.
-    for batch in decided.chunks(tables::COMMIT_ROWS) {
+    assigned.iter().for_each(|(instance, assignment)| feeds::learn_assignment(node, instance, assignment.clone()));
+    // Batched, because the first update assigns many engines.
+    for batch in assigned.chunks(tables::MAX_COMMIT_ROWS) {
         write_assignments(node, batch).await;
     }
 }
 
-/// Takes note of the tasks that have come to an end, and goes on with what they began.
-fn take_ends(node: &Arc<EntryNode>, plans: &mut BTreeMap<Name, ServicePlan>, running: &mut OrderTasks) {
-    while let Some(Ok(end)) = running.tasks.try_join_next() {
-        running.ended.push(end);
+/// Processes the results of tasks that have ended, and starts the tasks that follow.
+fn process_results(node: &Arc<EntryNode>, schedulers: &mut BTreeMap<Name, ServiceScheduler>, running: &mut OrderTasks) {
+    while let Some(Ok(result)) = running.tasks.try_join_next() {
+        running.results.push(result);
     }
     let mut to_correct: Vec<(PlannedOrder, OrderOutcome, EngineAssignment)> = Vec::new();
-    for end in std::mem::take(&mut running.ended) {
-        match end {
-            TaskEnd::Told(batch, true) => {
+    for result in std::mem::take(&mut running.results) {
+        match result {
+            TaskResult::Announced(batch, true) => {
                 for planned in batch {
                     running.tasks.spawn(send_order(node.clone(), planned));
                 }
             }
-            TaskEnd::Told(batch, false) => {
-                batch.iter().for_each(|planned| note_order(node, plans, planned, OrderOutcome::NotSent));
+            TaskResult::Announced(batch, false) => {
+                batch.iter().for_each(|planned| record_order(node, schedulers, planned, OrderOutcome::NotSent));
             }
-            TaskEnd::Asked(service, order, report) => {
-                if let Some(service_plan) = plans.get_mut(&service) {
-                    note_report(node.now(), &mut service_plan.plan, &order, report);
+            TaskResult::Polled(service, order, report) => {
+                if let Some(service_scheduler) = schedulers.get_mut(&service) {
+                    record_report(node.now(), &mut service_scheduler.scheduler, &order, report);
                 }
             }
-            TaskEnd::Sent(planned, outcome) => match correction(node, &planned, outcome) {
+            TaskResult::Sent(planned, outcome) => match correct_assignment(node, &planned, outcome) {
                 Some(row) => to_correct.push((*planned, outcome, row)),
-                None => note_order(node, plans, &planned, outcome),
+                None => record_order(node, schedulers, &planned, outcome),
             },
-            TaskEnd::Corrected(batch) => {
-                batch.iter().for_each(|(planned, outcome)| note_order(node, plans, planned, *outcome));
+            TaskResult::Corrected(batch) => {
+                batch.iter().for_each(|(planned, outcome)| record_order(node, schedulers, planned, *outcome));
             }
         }
     }
     while !to_correct.is_empty() {
-        let batch: Vec<_> = to_correct.drain(..to_correct.len().min(tables::COMMIT_ROWS)).collect();
+        let batch: Vec<_> = to_correct.drain(..to_correct.len().min(tables::MAX_COMMIT_ROWS)).collect();
         let node = node.clone();
         running.tasks.spawn(async move {
             let rows: Vec<_> = batch.iter().map(|(planned, _, row)| planned.row(row.clone())).collect();
             write_assignments(&node, &rows).await;
-            TaskEnd::Corrected(batch.into_iter().map(|(planned, outcome, _)| (planned, outcome)).collect())
+            TaskResult::Corrected(batch.into_iter().map(|(planned, outcome, _)| (planned, outcome)).collect())
         });
     }
 }
 
-fn note_report(now: Timestamp, plan: &mut WeightPlan, order: &DueOrder, report: Option<EngineReport>) {
-    let Some(report) = report else { return plan.unreachable(now, &order.instance) };
-    let held = report.models.iter().find(|(model, _)| *model == order.model);
-    let version = held.map_or(0, |(_, version)| *version);
-    plan.reported(now, &order.instance, version, report.is_loading, report.orders);
+fn record_report(now: Timestamp, scheduler: &mut WeightPlan, order: &DueOrder, report: Option<EngineReport>) {
+    let Some(report) = report else { return scheduler.unreachable(now, &order.instance) };
+    let loaded = report.models.iter().find(|(model, _)| *model == order.model);
+    let version = loaded.map_or(0, |(_, version)| *version);
+    scheduler.reported(now, &order.instance, version, report.is_loading, report.orders);
 }
 
-fn note_order(
+fn record_order(
     node: &EntryNode,
-    plans: &mut BTreeMap<Name, ServicePlan>,
+    schedulers: &mut BTreeMap<Name, ServiceScheduler>,
     planned: &PlannedOrder,
     outcome: OrderOutcome,
 ) {
-    if let Some(service_plan) = plans.get_mut(&planned.service) {
-        service_plan.plan.ordered(node.now(), &planned.order, outcome, planned.orders_before);
+    if let Some(service_scheduler) = schedulers.get_mut(&planned.service) {
+        service_scheduler.scheduler.ordered(node.now(), &planned.order, outcome, planned.orders_before);
         node.metrics.order(outcome);
     }
 }
 
-fn due_orders(node: &EntryNode, plan: &mut WeightPlan) -> Vec<DueOrder> {
+fn due_orders(node: &EntryNode, scheduler: &mut WeightPlan) -> Vec<DueOrder> {
     let clock_ms = node.store.clock_ms();
-    let handover = node.bounds().order_handover + ORDER_TIMEOUT;
-    let is_open = |instance: &str| {
+    let handover = node.live_settings().order_handover + ORDER_TIMEOUT;
+    let may_be_ordered = |instance: &str| {
         let assignment = node.weights.assignment(instance);
         assignment.is_none_or(|assignment| assignment.is_open_to(&node.settings.name, clock_ms, handover))
     };
     let board = node.board.lock().unwrap();
     let in_flight = |instance: &str| board.get(instance).map_or(0, |belief| belief.in_flight);
-    plan.next_orders(node.now(), |instance| is_open(instance).then(|| in_flight(instance)))
+    scheduler.next_orders(node.now(), |instance| may_be_ordered(instance).then(|| in_flight(instance)))
 }
 
-/// What holds for all orders of a service.
+/// Options common to all orders of a service.
 #[derive(Clone, Copy)]
-struct OrderTerms {
-    /// Fencing number of the lease under which they are decided.
+struct OrderOptions {
+    /// Fencing token of the lease under which the orders were assigned.
     fence: u64,
-    /// How long a load is expected to take.
+    /// Expected duration of a load.
     load_time: Duration,
-    /// Whether runs in progress are to end before the version changes.
+    /// Whether runs in progress must end before the version changes.
     waits_for_runs: bool,
 }
 
@@ -275,7 +277,7 @@
     engine: ServerEntry,
     order: DueOrder,
     orders_before: u64,
-    terms: OrderTerms,
+    options: OrderOptions,
 ) -> PlannedOrder {
     let clock_ms = node.store.clock_ms();
     let intent = EngineAssignment {
@@ -284,39 +286,44 @@
         ordered_ms: clock_ms,
         tried_ms: clock_ms,
         holder: node.settings.name.clone(),
-        load_ms: millis(terms.load_time),
+        load_ms: millis(options.load_time),
     };
-    let before = node.weights.assignment(&order.instance);
-    PlannedOrder { service, engine, order, orders_before, terms, intent, before }
+    let previous = node.weights.assignment(&order.instance);
+    PlannedOrder { service, engine, order, orders_before, options, intent, previous }
 }
 
-/// Sends an order that the store knows of. The lease is checked next to the send, since the write before it
-/// may have taken long.
-async fn send_order(node: Arc<EntryNode>, planned: PlannedOrder) -> TaskEnd {
-    let PlannedOrder { engine, order, orders_before, terms, .. } = &planned;
-    let Some(fence) = node.lease.fence(node.now()).filter(|held| *held == terms.fence) else {
-        return TaskEnd::Told(vec![planned], false);
+/// Sends an order whose row is in the store. The lease is checked immediately before the send, because the
+/// write of the row may have taken long.
+async fn send_order(node: Arc<EntryNode>, planned: PlannedOrder) -> TaskResult {
+    let PlannedOrder { engine, order, orders_before, options, .. } = &planned;
+    let Some(fence) = node.lease.fence(node.now()).filter(|held| *held == options.fence) else {
+        return TaskResult::Announced(vec![planned], false);
     };
-    let outcome = engine_calls::send_order(&node, engine, order, fence, *orders_before, terms.waits_for_runs).await;
+    let outcome = engine_calls::send_order(&node, engine, order, fence, *orders_before, options.waits_for_runs).await;
     log_order(order, fence, *orders_before, outcome);
-    TaskEnd::Sent(Box::new(planned), outcome)
+    TaskResult::Sent(Box::new(planned), outcome)
 }
 
-/// Takes over what an order came to. Returns the row that tells so where it is not as was told before the
-/// order was sent.
-fn correction(node: &Arc<EntryNode>, planned: &PlannedOrder, outcome: OrderOutcome) -> Option<EngineAssignment> {
+/// Records the outcome of an order. Returns a corrected row if the outcome differs from the announced
+/// order.
+fn correct_assignment(
+    node: &Arc<EntryNode>,
+    planned: &PlannedOrder,
+    outcome: OrderOutcome,
+) -> Option<EngineAssignment> {
     let intent = planned.intent.clone();
     if outcome == OrderOutcome::Accepted {
         let now_ms = node.store.clock_ms();
-        let is_late = now_ms >= intent.ordered_ms + LATE_ORDER_MS;
+        let is_late = now_ms >= intent.ordered_ms + CORRECTION_DELAY_MS;
         let accepted = EngineAssignment { ordered_ms: now_ms, tried_ms: now_ms, ..intent };
         feeds::learn_assignment(node, &planned.order.instance, accepted.clone());
         return is_late.then_some(accepted);
     }
-    let (version, ordered_ms) = planned.before.as_ref().map_or((0, 0), |before| (before.version, before.ordered_ms));
-    let undone = EngineAssignment { version, ordered_ms, ..intent };
-    feeds::learn_assignment(node, &planned.order.instance, undone.clone());
-    Some(undone)
+    let (version, ordered_ms) =
+        planned.previous.as_ref().map_or((0, 0), |previous| (previous.version, previous.ordered_ms));
+    let reverted = EngineAssignment { version, ordered_ms, ..intent };
+    feeds::learn_assignment(node, &planned.order.instance, reverted.clone());
+    Some(reverted)
 }
 
 fn log_order(order: &DueOrder, fence: u64, orders_before: u64, outcome: OrderOutcome) {
@@ -331,7 +338,7 @@
     logs::write(event::ENGINE_ORDERED, &fields);
 }
 
-/// Tells all nodes what some engines are ordered, in one transaction. Returns whether the store has it.
+/// Writes assignments of engines in one transaction. Returns whether the store has them.
 async fn write_assignments(node: &Arc<EntryNode>, assignments: &[(Name, EngineAssignment)]) -> bool {
     let transaction =
         assignments.iter().fold(RowTransaction::new(tables::ENGINES), |transaction, (instance, assignment)| {
@@ -347,7 +354,7 @@
     }
 }
 
-fn plan_settings(settings: &EntrySettings) -> WeightPlanSettings {
+fn scheduler_settings(settings: &EntrySettings) -> WeightPlanSettings {
     WeightPlanSettings {
         parallel_share: settings.load_share,
         load_time: Duration::from_millis(settings.first_load_ms),
--- a/crates/trestlerackd/src/entry/weight_state.rs
+++ b/crates/trestlerackd/src/entry/weight_state.rs
@@ -1,49 +1,49 @@
-//! Which weight versions trainers named, and what engines were ordered to load.
+//! Published weight versions, and the assignments of engines.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use trestlerack::Name;
 use trestlerack::version::{EngineAssignment, WeightVersion};
 
-/// Versions by model, and orders by engine, as this node knows them.
+/// Newest published version of each model and assignment of each engine, as known to this node.
 #[derive(Debug, Default)]
-pub struct WeightBook {
-    named: Mutex<BTreeMap<Name, WeightVersion>>,
+pub struct WeightState {
+    newest: Mutex<BTreeMap<Name, WeightVersion>>,
     assignments: Mutex<BTreeMap<Name, EngineAssignment>>,
 }
 
-impl WeightBook {
-    /// Records that a trainer named a version. Returns whether it is newer than those known.
-    pub fn name_version(&self, model: &Name, version: WeightVersion) -> bool {
-        let mut named = self.named.lock().unwrap();
-        let newest = named.entry(model.clone()).or_insert(0);
+impl WeightState {
+    /// Records that a trainer published a version. Returns whether it is newer than the known ones.
+    pub fn record_published_version(&self, model: &Name, version: WeightVersion) -> bool {
+        let mut versions = self.newest.lock().unwrap();
+        let newest = versions.entry(model.clone()).or_insert(0);
         let is_newer = version > *newest;
         *newest = version.max(*newest);
         is_newer
     }
 
-    /// Returns the newest version that was named for a model; 0 if none was.
+    /// Returns the newest published version of a model, or 0 if there is none.
     pub fn newest_version(&self, model: &str) -> WeightVersion {
-        self.named.lock().unwrap().get(model).copied().unwrap_or(0)
+        self.newest.lock().unwrap().get(model).copied().unwrap_or(0)
     }
 
-    /// Returns the newest version of each model.
-    pub fn named_versions(&self) -> BTreeMap<Name, WeightVersion> {
-        self.named.lock().unwrap().clone()
+    /// Returns the newest published version of each model.
+    pub fn newest_versions(&self) -> BTreeMap<Name, WeightVersion> {
+        self.newest.lock().unwrap().clone()
     }
 
-    /// Returns what an engine was ordered.
+    /// Returns the assignment of an engine, if one is known.
     pub fn assignment(&self, instance: &str) -> Option<EngineAssignment> {
         self.assignments.lock().unwrap().get(instance).cloned()
     }
 
-    /// Returns what all engines were ordered.
+    /// Returns the assignments of all engines.
     pub fn assignments(&self) -> BTreeMap<Name, EngineAssignment> {
         self.assignments.lock().unwrap().clone()
     }
 
-    /// Records what an engine was ordered; `None` if that is not known any more.
-    pub fn assign(&self, instance: &Name, assignment: Option<EngineAssignment>) {
+    /// Sets the assignment of an engine, or removes it if `assignment` is `None`.
+    pub fn set_assignment(&self, instance: &Name, assignment: Option<EngineAssignment>) {
         let mut assignments = self.assignments.lock().unwrap();
         match assignment {
             Some(assignment) => assignments.insert(instance.clone(), assignment),
--- a/crates/trestlerackd/tests/entry/jobs.rs
+++ b/crates/trestlerackd/tests/entry/jobs.rs
@@ -177,7 +177,7 @@
     eventually("its items run", || runs_of("job1") == 2);
     // A text whose first event the old weights made is of no use to a job that needs the new ones.
     std::thread::sleep(Duration::from_millis(1_400));
-    platform.name_version(2);
+    platform.publish_version(2);
     eventually("one of them runs a second time", || runs_of("job1") == 3);
     assert_eq!(submit(&daemon, "job2", 8), 202);
     eventually("all places but two are taken by the new job", || runs_of("job2") == 6);
@@ -199,7 +199,7 @@
     assert_eq!(call(&daemon.client, "POST", "/jobs/earlier", &[("request-id", "earlier")], &body).unwrap().status, 202);
     assert_eq!(submit(&daemon, "later", 3 * PLACES), 202);
     eventually("the later job occupies all places", || runs().len() == PLACES);
-    platform.name_version(2);
+    platform.publish_version(2);
     eventually("both engines accept a load order", || platform.engine.orders.lock().unwrap().len() == 2);
     assert_eq!(runs().len(), PLACES, "no further run has started");
     read_all(&daemon, "earlier", PLACES);
--- a/crates/trestlerackd/tests/entry/lease.rs
+++ b/crates/trestlerackd/tests/entry/lease.rs
@@ -22,7 +22,7 @@
         daemon.wait_end();
     }
     daemons.iter_mut().for_each(EntryDaemon::restart);
-    platform.name_version(2);
+    platform.publish_version(2);
     eventually("the engines are ordered", || platform.engine.orders.lock().unwrap().len() == 2);
     let conflicts = platform.store.conflicts("leases") - before;
     assert!(conflicts <= 2, "{conflicts} of six nodes wrote the lease in vain");
@@ -42,17 +42,17 @@
     eventually("the first node holds the lease", || platform.store.count("state", "leases") == 1);
     let _second = EntryDaemon::start_with("b", &settings);
     let orders = || platform.engine.orders.lock().unwrap().clone();
-    platform.name_version(2);
+    platform.publish_version(2);
     eventually("both engines are ordered", || orders().len() == 2);
     // What the second node still hears of is so old that it would not wait by that.
     std::thread::sleep(HANDOVER / 2);
     platform.store.silence_watches(Some("state"));
-    platform.name_version(3);
+    platform.publish_version(3);
     eventually("both engines are ordered again", || orders().len() == 4);
     first.signal("-KILL");
     first.wait_end();
     let killed_at = Instant::now();
-    platform.name_version(4);
+    platform.publish_version(4);
     eventually("the second node orders them", || orders().len() == 6);
     for order in &orders()[4..] {
         assert_eq!((order.holder.as_str(), order.fence, order.version), ("b", 2, 4));
@@ -70,7 +70,7 @@
     platform.engine.silent_reports.store(1, std::sync::atomic::Ordering::SeqCst);
     let _daemon = EntryDaemon::start("a", &platform.store, &[]);
     eventually("the node holds the lease", || platform.store.count("state", "leases") == 1);
-    platform.name_version(2);
+    platform.publish_version(2);
     eventually("the question is given up", || !platform.engine.reports_given_up.lock().unwrap().is_empty());
     let orders = platform.engine.orders.lock().unwrap().clone();
     let given_up = platform.engine.reports_given_up.lock().unwrap()[0];
--- a/crates/trestlerackd/tests/entry/soak/clients.rs
+++ b/crates/trestlerackd/tests/entry/soak/clients.rs
@@ -157,7 +157,7 @@
         end_job(world, findings, &mut random, &job);
         if names_versions {
             version += 1;
-            world.platform.name_version(version);
+            world.platform.publish_version(version);
         }
     }
 }
--- a/crates/trestlerackd/tests/entry/soak/faults.rs
+++ b/crates/trestlerackd/tests/entry/soak/faults.rs
@@ -1,8 +1,8 @@
 //! Faults that are injected from outside the processes, drawn from a seed.
 
 use super::super::support::{STOP_LIMIT, eventually};
-use super::link::{Link, LinkMode};
 use super::cluster::{Place, World};
+use super::link::{Link, LinkMode};
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use std::sync::Arc;
--- a/crates/trestlerackd/tests/entry/support/platform.rs
+++ b/crates/trestlerackd/tests/entry/support/platform.rs
@@ -400,7 +400,7 @@
     }
 
     /// Names a version of the weights, as a trainer does.
-    pub fn name_version(&self, version: u64) {
+    pub fn publish_version(&self, version: u64) {
         self.store.put("op", "version/m", &json!({ "model": "m", "version": version }));
     }
 }
