--- a/crates/trestlerackd/tests/entry/crashes.rs
+++ b/crates/trestlerackd/tests/entry/crashes.rs
@@ -55,7 +55,7 @@
 
 #[test]
 fn a_request_that_ends_its_servers_is_held_on_all_nodes() {
-    let platform = Platform::start_counts(0, 0);
+    let platform = Platform::start_with_counts(0, 0);
     let servers = plain_servers(&platform, 3);
     let nodes = start_nodes(&platform, &["a", "b", "c"]);
     for arrival in 0..ARRIVALS {
@@ -99,7 +99,7 @@
 
 #[test]
 fn a_request_that_may_run_once_is_held_as_well() {
-    let platform = Platform::start_counts(0, 0);
+    let platform = Platform::start_with_counts(0, 0);
     let servers = plain_servers(&platform, 3);
     let nodes = start_nodes(&platform, &["a", "b", "c"]);
     send_until_held(&nodes, "/once/x", "once");
@@ -113,14 +113,18 @@
 #[test]
 fn a_stream_and_its_resumption_are_held() {
     for events_before_end in [0, 2] {
-        let platform = Platform::start_counts(0, 0);
+        let platform = Platform::start_with_counts(0, 0);
         let servers = CrashingServers::start(&platform.store, "models", 3, BACK_AFTER);
         servers.events_before_end.store(events_before_end, Ordering::SeqCst);
         let nodes = start_nodes(&platform, &["a", "b"]);
         for arrival in 0..ARRIVALS {
-            let (text, is_whole) =
-                read_stream_of(&nodes[arrival % nodes.len()].client, "/resumed/x", &format!("s{arrival}"), FATAL)
-                    .unwrap();
+            let (text, is_whole) = read_stream_with_body(
+                &nodes[arrival % nodes.len()].client,
+                "/resumed/x",
+                &format!("s{arrival}"),
+                FATAL,
+            )
+            .unwrap();
             assert!(!is_whole, "{text}");
             std::thread::sleep(ARRIVAL_PAUSE);
         }
@@ -134,7 +138,7 @@
 /// server ended.
 #[test]
 fn a_client_that_leaves_hides_no_end() {
-    let platform = Platform::start_counts(0, 0);
+    let platform = Platform::start_with_counts(0, 0);
     let servers = plain_servers(&platform, 3);
     let nodes = start_nodes(&platform, &["a", "b"]);
     for arrival in 0..ARRIVALS {
@@ -156,7 +160,7 @@
 /// long nor lost: their client's return is served, whichever node it meets.
 #[test]
 fn bystanders_are_served_and_not_blamed() {
-    let platform = Platform::start_counts(0, 0);
+    let platform = Platform::start_with_counts(0, 0);
     let servers = plain_servers(&platform, 4);
     servers.work_ms.store(120, Ordering::SeqCst);
     let nodes = start_nodes(&platform, &["a", "b", "c"]);
@@ -214,7 +218,7 @@
 /// the job over once its owner is killed.
 #[test]
 fn an_item_is_held_also_where_its_job_is_taken_over() {
-    let platform = Platform::start_counts(2, 0);
+    let platform = Platform::start_with_counts(2, 0);
     let engines = CrashingServers::start(&platform.store, "models", 4, BACK_AFTER);
     engines.work_ms.store(50, Ordering::SeqCst);
     let mut nodes = start_nodes(&platform, &["a", "b", "c"]);
@@ -240,7 +244,7 @@
 
 #[test]
 fn a_score_call_is_held_without_the_places_of_others() {
-    let platform = Platform::start_counts(0, 2);
+    let platform = Platform::start_with_counts(0, 2);
     let scorers = plain_servers(&platform, 3);
     let nodes = start_nodes(&platform, &["a", "b"]);
     let body = job_with_fatal_item("job1", FATAL);
@@ -256,7 +260,7 @@
 /// of them. Each is still sent to three servers and one more at most, as the bytes that were submitted.
 #[test]
 fn score_calls_that_end_servers_together_are_each_held() {
-    let platform = Platform::start_counts(0, 2);
+    let platform = Platform::start_with_counts(0, 2);
     let scorers = plain_servers(&platform, 3);
     let nodes = start_nodes(&platform, &["a", "b", "c"]);
     let fatal: Vec<String> = (0..4).map(|number| format!("{FATAL}, number {number}")).collect();
@@ -279,7 +283,7 @@
 
 #[test]
 fn a_node_that_starts_knows_what_is_held() {
-    let platform = Platform::start_counts(0, 0);
+    let platform = Platform::start_with_counts(0, 0);
     let servers = plain_servers(&platform, 3);
     let mut nodes = start_nodes(&platform, &["a", "b"]);
     send_until_held(&nodes, "/safe/x", "fatal");
@@ -296,7 +300,7 @@
 
 #[test]
 fn a_node_that_was_cut_off_or_paused_knows_what_is_held() {
-    let platform = Platform::start_counts(0, 0);
+    let platform = Platform::start_with_counts(0, 0);
     let servers = plain_servers(&platform, 3);
     let mut nodes = start_nodes(&platform, &["a", "b"]);
     // Nothing listens there, so this one hears of the store through its peers only.
@@ -321,10 +325,10 @@
 /// at the time asks. Once the store is back, the strikes are stored.
 #[test]
 fn nodes_that_cannot_reach_the_store_tell_each_other() {
-    let platform = Platform::start_counts(0, 0);
+    let platform = Platform::start_with_counts(0, 0);
     let servers = plain_servers(&platform, 6);
     let nodes = start_nodes(&platform, &["a", "b", "c", "d"]);
-    platform.store.go_down(true);
+    platform.store.set_unavailable(true);
     nodes[3].signal("-STOP");
     // The first arrival ends two of the six servers, and each further one a single one.
     for (id, ended) in [("r1", 2), ("r2", 3)] {
@@ -337,15 +341,15 @@
         assert!(holds(node, &format!("again{number}")), "node {number}");
     }
     assert_eq!(servers.ended(), 3);
-    assert_eq!(platform.store.count("state", "suspects"), 0);
-    platform.store.go_down(false);
-    eventually("the strikes are stored", || platform.store.count("state", "suspects") == 3);
+    assert_eq!(platform.store.row_count("state", "suspects"), 0);
+    platform.store.set_unavailable(false);
+    eventually("the strikes are stored", || platform.store.row_count("state", "suspects") == 3);
 }
 
 /// What is kept and logged of a suspect names neither what it asks for nor who asks by which key.
 #[test]
 fn neither_body_nor_key_of_a_suspect_is_kept() {
-    let platform = Platform::start_counts(0, 0);
+    let platform = Platform::start_with_counts(0, 0);
     let servers = plain_servers(&platform, 3);
     platform.configure(2, json!([{ "name": "wash", "api_keys": ["secret-key"] }]));
     let log = std::env::temp_dir().join(format!("entry-suspects-{}.log", std::process::id()));
@@ -355,13 +359,13 @@
         let headers = [("request-id", id), ("authorization", "Bearer secret-key")];
         call(&daemon.client, "POST", "/safe/private", &headers, FATAL);
     }
-    eventually("the strikes are stored", || platform.store.count("state", "suspects") == 3);
+    eventually("the strikes are stored", || platform.store.row_count("state", "suspects") == 3);
     assert_eq!(servers.ended(), 3);
     let log_text = || std::fs::read_to_string(&log).unwrap();
     eventually("that it is held is logged", || log_text().contains("TR2109"));
     let text = log_text();
     for secret in ["secret-key", FATAL, "/safe/private"] {
-        assert!(!platform.store.holds(secret) && !text.contains(secret), "{secret}");
+        assert!(!platform.store.contains_text(secret) && !text.contains(secret), "{secret}");
     }
     std::fs::remove_file(&log).unwrap();
 }
--- a/crates/trestlerackd/tests/entry/customers.rs
+++ b/crates/trestlerackd/tests/entry/customers.rs
@@ -88,7 +88,7 @@
         assert!(!headers.contains_key("authorization"));
     }
     for key in [KEY_ONE, KEY_TWO, OTHER_KEY] {
-        assert!(!platform.store.holds(key), "a row holds {key}");
+        assert!(!platform.store.contains_text(key), "a row holds {key}");
         assert!(!std::fs::read_to_string(&log).unwrap().contains(key), "the log holds {key}");
     }
     std::fs::remove_file(log).unwrap();
--- a/crates/trestlerackd/tests/entry/duties.rs
+++ b/crates/trestlerackd/tests/entry/duties.rs
@@ -75,7 +75,7 @@
         assert_eq!(ask(&second, &format!("b{number}"), "k-pension"), 200);
     }
     // One that runs twice is counted once, and one that no customer asked for not at all.
-    platform.plain.short_answers.store(1, Ordering::SeqCst);
+    platform.plain.truncated_responses.store(1, Ordering::SeqCst);
     assert_eq!(ask(&second, "twice", "k-pension"), 200);
     assert_eq!(ask(&second, "bad", "k-nobody"), 401);
     let expected: BTreeMap<String, u64> = [("wash".into(), 10), ("pension".into(), 11)].into();
@@ -93,11 +93,11 @@
     let log = std::env::temp_dir().join(format!("entry-usage-first-{}.log", std::process::id()));
     settings.log = Some(log.clone());
     // Delays the holder's first read, so that it opens its reports in a later window than the request's.
-    platform.store.slow_down_reads("usage", 2_500);
+    platform.store.set_read_delay("usage", 2_500);
     let daemon = EntryDaemon::start_with("a", &settings);
     assert_eq!(ask(&daemon, "r1", "k-wash"), 200);
     std::thread::sleep(Duration::from_secs(WINDOW_S) + Duration::from_millis(200));
-    platform.store.slow_down_reads("usage", 0);
+    platform.store.set_read_delay("usage", 0);
     let is_reported = || reported(&duties).get("wash") == Some(&1);
     eventually_with_detail("the usage is reported", is_reported, || usage_diagnostics(&duties, &log));
     duties.check("/usage");
@@ -143,7 +143,7 @@
         "zone_prices": { "z": 1.0, "cheap": 0.5 } }),
     );
     let _daemon = EntryDaemon::start_with("a", &settings);
-    eventually("the level is known", || platform.store.count("engine-orders", "engine-orders") == 1);
+    eventually("the level is known", || platform.store.row_count("engine-orders", "engine-orders") == 1);
     assert!(duties.calls("/scale").is_empty(), "nothing is missing");
     duties.answer_next(&[200, 409]);
     platform.store.remove("servers", "i-engine-0");
--- a/crates/trestlerackd/tests/entry/engines.rs
+++ b/crates/trestlerackd/tests/entry/engines.rs
@@ -87,7 +87,7 @@
 #[test]
 fn a_stream_that_is_half_made_goes_on_one_step_more_urgent() {
     // Each break pauses its engine for a moment.
-    let platform = Platform::start_counts(1, 4);
+    let platform = Platform::start_with_counts(1, 4);
     platform.configure(
         2,
         json!([{ "name": "one", "api_keys": [KEY], "priority": 3 }, { "name": "two", "api_keys": [OTHER_KEY] }]),
@@ -134,7 +134,7 @@
 fn a_run_waits_for_an_engine_with_memory_for_it() {
     let platform = Platform::start();
     platform.reconfigure(2, |config| config["services"][1]["engine"]["kv_capacity"] = json!(150));
-    platform.engine.pace_ms.store(PACE.as_millis() as usize, Ordering::SeqCst);
+    platform.engine.event_interval_ms.store(PACE.as_millis() as usize, Ordering::SeqCst);
     let (daemon, log, metrics) = start(&platform, "memory");
     assert_eq!(submit(&daemon, "job1", 4), 202);
     eventually("both engines hold a run", || {
@@ -144,7 +144,7 @@
         assert!(tokens.iter().all(|tokens| *tokens == "100"), "{page}");
         tokens.len() == 2
     });
-    assert_eq!(read_all(&daemon, "job1", 4).len(), 4);
+    assert_eq!(read_results(&daemon, "job1", 4).len(), 4);
     let begins = platform.engine.last_runs.lock().unwrap().clone();
     let headers = platform.engine.headers.lock().unwrap().clone();
     for engine in ["i-engine-0", "i-engine-1"] {
@@ -152,7 +152,7 @@
         let mut times: Vec<Instant> = begins.iter().filter(|(id, _)| here(id)).map(|(_, at)| *at).collect();
         times.sort();
         // A run lasts five events; the next one begins once it has ended.
-        let is_apart = |pair: &[Instant]| pair[1] - pair[0] >= PACE * EVENTS as u32;
+        let is_apart = |pair: &[Instant]| pair[1] - pair[0] >= PACE * EVENTS_PER_STREAM as u32;
         assert!(times.len() == 2 && times.windows(2).all(is_apart), "{engine}: {times:?}");
     }
     let left = log_lines(&log, "TR2311", 1);
@@ -176,7 +176,7 @@
     assert_eq!(log_lines(&log, "TR2313", 1).len(), 1);
     // Items of 100 tokens; that is what they may need at most, so only an engine can refuse them.
     assert_eq!(submit(&daemon, "job1", 2), 202);
-    assert!(read_all(&daemon, "job1", 2).iter().all(|result| result["state"] == "completed"));
+    assert!(read_results(&daemon, "job1", 2).iter().all(|result| result["state"] == "completed"));
     assert_eq!(log_lines(&log, "TR2312", 2).len(), 2);
     std::fs::remove_file(log).unwrap();
 }
--- a/crates/trestlerackd/tests/entry/held.rs
+++ b/crates/trestlerackd/tests/entry/held.rs
@@ -179,7 +179,7 @@
     let mut slow = begin_body(&daemon.client, "slow", 1_000, 100, 50).unwrap();
     std::thread::sleep(Duration::from_millis(3_500));
     slow.write_all(&[b'x'; 50]).unwrap();
-    slow.set_read_timeout(Some(PATIENCE)).unwrap();
+    slow.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     assert_eq!(read_answer(&mut BufReader::new(slow)).unwrap().status, 200);
 }
 
@@ -189,7 +189,7 @@
     let (daemon, _) = start_small(&platform);
     let chunked = |id: &str, chunks: usize| {
         let mut stream = TcpStream::connect(&daemon.client).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         let head = format!(
             "POST /safe/x HTTP/1.1\r\nhost: h.example\r\nrequest-id: {id}\r\ntransfer-encoding: chunked\r\n\r\n"
         );
@@ -211,7 +211,7 @@
     let platform = Platform::start();
     let (daemon, _) = start_small(&platform);
     let mut stream = TcpStream::connect(&daemon.client).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     send(&mut stream, "POST", "/safe/x", &[("request-id", "r1")], &"x".repeat(1_200_000)).unwrap();
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     assert_eq!(read_answer(&mut reader).unwrap().status, 413);
@@ -233,7 +233,7 @@
     let slow = ask("reads-slowly");
     let reading = std::thread::spawn(move || {
         let (mut slow, mut text, mut piece) = (slow, Vec::new(), vec![0; 32 * 1024]);
-        slow.set_read_timeout(Some(PATIENCE)).unwrap();
+        slow.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         while text.len() < LARGE {
             std::thread::sleep(Duration::from_millis(60));
             match slow.read(&mut piece) {
@@ -256,8 +256,8 @@
 #[test]
 fn streams_of_slow_readers_delay_no_quick_ones() {
     let platform = Platform::start();
-    platform.engine.pace_ms.store(8, Ordering::SeqCst);
-    platform.engine.event_bytes.store(100_000, Ordering::SeqCst);
+    platform.engine.event_interval_ms.store(8, Ordering::SeqCst);
+    platform.engine.event_padding.store(100_000, Ordering::SeqCst);
     let (daemon, _) = start_small(&platform);
     let read_quickly = |round: &str| {
         let mut times: Vec<Duration> = Vec::new();
@@ -290,18 +290,18 @@
 #[test]
 fn a_store_silent_for_ten_seconds_costs_no_result() {
     let platform = Platform::start();
-    platform.engine.pace_ms.store(300, Ordering::SeqCst);
-    platform.engine.event_bytes.store(20_000, Ordering::SeqCst);
+    platform.engine.event_interval_ms.store(300, Ordering::SeqCst);
+    platform.engine.event_padding.store(20_000, Ordering::SeqCst);
     let metrics = free_address();
     let more = json!({ "memory_mb": MEMORY_MB, "metrics_listen": metrics, "retention_s": 60 });
     let daemon = start(&platform, more);
     assert_eq!(submit(&daemon, "job1", 16), 202);
-    platform.store.go_down(true);
+    platform.store.set_unavailable(true);
     let mut innocents = Innocents::default();
     innocents.call_for(&daemon, Duration::from_secs(10), || {});
     assert!(held_for(&metrics, "texts") > 100_000);
-    platform.store.go_down(false);
-    assert_eq!(read_all(&daemon, "job1", 16).len(), 16);
+    platform.store.set_unavailable(false);
+    assert_eq!(read_results(&daemon, "job1", 16).len(), 16);
     check_resident(&daemon);
     innocents.check();
 }
@@ -310,13 +310,13 @@
 #[test]
 fn a_job_larger_than_the_bound_ends_whole_with_fewer_runs_at_once() {
     let platform = Platform::start();
-    platform.engine.pace_ms.store(20, Ordering::SeqCst);
-    platform.engine.event_bytes.store(40_000, Ordering::SeqCst);
+    platform.engine.event_interval_ms.store(20, Ordering::SeqCst);
+    platform.engine.event_padding.store(40_000, Ordering::SeqCst);
     let metrics = free_address();
     // Leaves the least bound that there is, a megabyte.
     let daemon = start(&platform, json!({ "memory_mb": 10, "metrics_listen": metrics }));
     assert_eq!(submit(&daemon, "job1", 16), 202);
-    let results = read_all(&daemon, "job1", 16);
+    let results = read_results(&daemon, "job1", 16);
     assert!(results.iter().all(|result| result["state"] == "completed"));
     let lines = memory(&metrics);
     let limited = lines.as_array().unwrap().iter().find(|line| line["name"] == "runs-limited").unwrap();
--- a/crates/trestlerackd/tests/entry/jobs.rs
+++ b/crates/trestlerackd/tests/entry/jobs.rs
@@ -14,14 +14,14 @@
     assert_eq!(submit(&daemon, "job1", 12), 202);
     assert_eq!(submit(&other, "job1", 12), 202);
     assert_eq!(submit(&other, "job1", 11), 409, "another job has this id");
-    let results = read_all(&daemon, "job1", 12);
+    let results = read_results(&daemon, "job1", 12);
     for result in &results {
         let id = result["id"].as_str().unwrap();
-        assert_eq!(result["text"], whole_text(id, 1).join("\n"));
+        assert_eq!(result["text"], complete_text(id, 1).join("\n"));
         assert_eq!((&result["state"], &result["versions"]), (&json!("completed"), &json!([1])));
         assert_eq!(result["score"], format!("signed-{id}-score"));
     }
-    assert_eq!(read_all(&other, "job1", 12), results);
+    assert_eq!(read_results(&other, "job1", 12), results);
     let body = call(&other.client, "GET", "/trestlerack/items/job1?id=job1-item-3", &[], "").unwrap();
     assert_eq!((body.status, body.body.as_str()), (200, "body"));
     for _ in 0..2 {
@@ -35,10 +35,10 @@
 fn answers_of_servers_that_ran_out_of_time_do_not_give_an_item_up() {
     let platform = Platform::start();
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
-    platform.plain.overdue_answers.store(8, Ordering::SeqCst);
-    platform.engine.overdue_answers.store(8, Ordering::SeqCst);
+    platform.plain.timeout_responses.store(8, Ordering::SeqCst);
+    platform.engine.timeout_responses.store(8, Ordering::SeqCst);
     assert_eq!(submit(&daemon, "job1", 2), 202);
-    for result in read_all(&daemon, "job1", 2) {
+    for result in read_results(&daemon, "job1", 2) {
         assert_eq!(result["state"], "completed", "{result}");
     }
 }
@@ -51,7 +51,7 @@
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
     platform.plain.work_ms.store(1_200, Ordering::SeqCst);
     assert_eq!(submit(&daemon, "job1", 2), 202);
-    for result in read_all(&daemon, "job1", 2) {
+    for result in read_results(&daemon, "job1", 2) {
         assert_eq!(result["state"], "completed", "{result}");
     }
     let runs = platform.plain.runs.lock().unwrap();
@@ -62,10 +62,10 @@
 fn a_scoring_server_that_falls_silent_delays_a_score_by_a_moment_only() {
     let platform = Platform::start();
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
-    platform.plain.silent_answers.store(1, Ordering::SeqCst);
+    platform.plain.unanswered_requests.store(1, Ordering::SeqCst);
     let begun = Instant::now();
     assert_eq!(submit(&daemon, "job1", 2), 202);
-    assert_eq!(read_all(&daemon, "job1", 2).len(), 2);
+    assert_eq!(read_results(&daemon, "job1", 2).len(), 2);
     assert!(begun.elapsed() < Duration::from_secs(2), "{:?}", begun.elapsed());
 }
 
@@ -73,7 +73,7 @@
 /// without using its processor.
 #[test]
 fn score_calls_of_a_route_without_a_target_wait_in_peace() {
-    let platform = Platform::start_behind(4, |address| address.to_string());
+    let platform = Platform::start_behind_proxies(4, |address| address.to_string());
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
     // Processor time is dearer beside other work, for a node without a job as well.
     let used_in_two_seconds = || {
@@ -82,13 +82,13 @@
         daemon.cpu_time() - before
     };
     let idle = used_in_two_seconds();
-    platform.plain.silent_answers.store(16, Ordering::SeqCst);
+    platform.plain.unanswered_requests.store(16, Ordering::SeqCst);
     let body = job_body_of("job1", 8, 1).replace("/safe/score", "/untimed/score");
     assert_eq!(call(&daemon.client, "POST", "/jobs/job1", &[("request-id", "job1")], &body).unwrap().status, 202);
     eventually("two servers were asked for each item", || platform.plain.runs.lock().unwrap().len() == 16);
     let used = used_in_two_seconds();
     assert!(used < idle + Duration::from_millis(90), "{used:?} of two seconds, {idle:?} without a job");
-    assert_eq!(read_all(&daemon, "job1", 8).len(), 8);
+    assert_eq!(read_results(&daemon, "job1", 8).len(), 8);
 }
 
 #[test]
@@ -119,22 +119,22 @@
     platform.store.refuse_commits(true);
     assert_eq!(submit_large(&[b'x'; 150_000]), 503);
     platform.store.refuse_commits(false);
-    platform.engine.pace_ms.store(300, Ordering::SeqCst);
+    platform.engine.event_interval_ms.store(300, Ordering::SeqCst);
     assert_eq!(submit_large(&[b'y'; 150_000]), 202);
     daemon.signal("-KILL");
     daemon.wait_end();
     let body = call(&other.client, "GET", "/trestlerack/items/large?id=large-item-3", &[], "").unwrap();
     assert_eq!((body.status, body.body.len(), &body.body[..1]), (200, 150_000, "y"));
-    assert_eq!(read_all(&other, "large", 4).len(), 4);
-    assert_eq!(platform.store.objects(), 2);
-    eventually("its object is removed", || platform.store.objects() == 1);
+    assert_eq!(read_results(&other, "large", 4).len(), 4);
+    assert_eq!(platform.store.object_count(), 2);
+    eventually("its object is removed", || platform.store.object_count() == 1);
 }
 
 #[test]
 fn results_of_more_bytes_than_one_page_are_read_in_several() {
     let platform = Platform::start();
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
-    platform.engine.event_bytes.store(30_000, Ordering::SeqCst);
+    platform.engine.event_padding.store(30_000, Ordering::SeqCst);
     assert_eq!(submit(&daemon, "job1", 8), 202);
     let mut results = 0;
     let mut pages = 0;
@@ -161,7 +161,7 @@
         assert_eq!(answer.status, 400, "{body}");
         assert!(!answer.body.is_empty(), "{body}");
     }
-    assert_eq!(platform.store.count("state", "bad"), 0);
+    assert_eq!(platform.store.row_count("state", "bad"), 0);
 }
 
 /// Two engines have four places each. A second run on the newest weights takes one of them while
@@ -171,7 +171,7 @@
     let platform = Platform::start();
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
     // An engine whose pace is not known yet is left after 1.6 s without an event.
-    platform.engine.pace_ms.store(1_200, Ordering::SeqCst);
+    platform.engine.event_interval_ms.store(1_200, Ordering::SeqCst);
     let runs_of = |job: &str| platform.engine.runs.lock().unwrap().iter().filter(|run| run.starts_with(job)).count();
     assert_eq!(submit(&daemon, "job1", 2), 202);
     eventually("its items run", || runs_of("job1") == 2);
@@ -192,7 +192,7 @@
     const PLACES: usize = 8;
     let platform = Platform::start();
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
-    platform.engine.pace_ms.store(200, Ordering::SeqCst);
+    platform.engine.event_interval_ms.store(200, Ordering::SeqCst);
     let runs = || platform.engine.runs.lock().unwrap().clone();
     // The earlier job requires version 2, which no engine has yet, so the later job fills all places.
     let body = job_body_of("earlier", PLACES, 2);
@@ -202,7 +202,7 @@
     platform.publish_version(2);
     eventually("both engines accept a load order", || platform.engine.orders.lock().unwrap().len() == 2);
     assert_eq!(runs().len(), PLACES, "no further run has started");
-    read_all(&daemon, "earlier", PLACES);
+    read_results(&daemon, "earlier", PLACES);
     let runs = runs();
     let last_earlier = runs.iter().rposition(|run| run.starts_with("earlier")).unwrap();
     let later_runs = runs[..last_earlier].iter().filter(|run| run.starts_with("later")).count();
@@ -221,11 +221,11 @@
     let lines = |event: &str| std::fs::read_to_string(&log).unwrap().matches(event).count();
     eventually("both are registered", || {
         let partitions = std::collections::BTreeSet::from([node_partition("small"), node_partition("large")]);
-        partitions.iter().map(|partition| platform.store.count("state", partition)).sum::<usize>() == 2
+        partitions.iter().map(|partition| platform.store.row_count("state", partition)).sum::<usize>() == 2
     });
     std::thread::sleep(Duration::from_millis(300));
     assert_eq!(submit(&small, "job1", 4), 202);
-    assert_eq!(read_all(&small, "job1", 4).len(), 4);
+    assert_eq!(read_results(&small, "job1", 4).len(), 4);
     assert_eq!((lines("name=job-driven"), lines("name=job-taken")), (1, 0));
     std::fs::remove_file(&log).unwrap();
 }
@@ -237,14 +237,14 @@
     let platform = Platform::start();
     let mut gone = EntryDaemon::start("gone", &platform.store, &[]);
     let other = EntryDaemon::start("b", &platform.store, &[&gone.peer]);
-    let rows = || platform.store.count("state", &node_partition("gone"));
+    let rows = || platform.store.row_count("state", &node_partition("gone"));
     eventually("it is registered", || rows() == 1);
     assert_eq!(submit(&gone, "job1", 2), 202);
-    assert_eq!(read_all(&gone, "job1", 2).len(), 2);
+    assert_eq!(read_results(&gone, "job1", 2).len(), 2);
     gone.signal("-KILL");
     gone.wait_end();
     assert_eq!(submit(&other, "job2", 2), 202);
-    assert_eq!(read_all(&other, "job2", 2).len(), 2);
+    assert_eq!(read_results(&other, "job2", 2).len(), 2);
     eventually("its row is removed", || rows() == 0);
 }
 
@@ -253,19 +253,19 @@
     let platform = Platform::start();
     let frozen = EntryDaemon::start("frozen", &platform.store, &[]);
     let other = EntryDaemon::start("b", &platform.store, &[&frozen.peer]);
-    let rows = || platform.store.count("state", &node_partition("frozen"));
+    let rows = || platform.store.row_count("state", &node_partition("frozen"));
     eventually("it is registered", || rows() == 1);
     assert_eq!(submit(&frozen, "job1", 2), 202);
-    assert_eq!(read_all(&frozen, "job1", 2).len(), 2);
+    assert_eq!(read_results(&frozen, "job1", 2).len(), 2);
     // The other node names the driver of the last job only once it has heard of that job.
-    assert_eq!(read_all(&other, "job1", 2).len(), 2);
+    assert_eq!(read_results(&other, "job1", 2).len(), 2);
     frozen.signal("-STOP");
     assert_eq!(submit(&other, "job2", 2), 202);
     eventually("its row is removed", || rows() == 0);
     frozen.signal("-CONT");
     eventually("its row is there again", || rows() == 1);
     assert_eq!(submit(&frozen, "job3", 2), 202);
-    assert_eq!(read_all(&frozen, "job3", 2).len(), 2);
+    assert_eq!(read_results(&frozen, "job3", 2).len(), 2);
 }
 
 #[test]
@@ -275,17 +275,17 @@
     platform.store.refuse_writes(true);
     assert_eq!(submit(&daemon, "job1", 2), 503);
     platform.store.refuse_writes(false);
-    assert_eq!(platform.store.count("state", "job1"), 0);
+    assert_eq!(platform.store.row_count("state", "job1"), 0);
     platform.store.lose_replies(1);
     assert_eq!(submit(&daemon, "job2", 2), 202);
-    assert_eq!(read_all(&daemon, "job2", 2).len(), 2);
+    assert_eq!(read_results(&daemon, "job2", 2).len(), 2);
 }
 
 /// Starts two daemons, of which the first drives a job whose four items run.
 fn two_daemons_with_a_running_job(platform: &Platform) -> (EntryDaemon, EntryDaemon) {
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
     let other = EntryDaemon::start("b", &platform.store, &[&daemon.peer]);
-    platform.engine.pace_ms.store(300, Ordering::SeqCst);
+    platform.engine.event_interval_ms.store(300, Ordering::SeqCst);
     assert_eq!(submit(&daemon, "job1", 4), 202);
     eventually("its items run", || platform.engine.runs.lock().unwrap().len() == 4);
     (daemon, other)
@@ -300,7 +300,7 @@
     let killed_at = Instant::now();
     eventually("they run again", || platform.engine.runs.lock().unwrap().len() > 4);
     assert!(killed_at.elapsed() < Duration::from_secs(3), "{:?}", killed_at.elapsed());
-    assert_eq!(read_all(&other, "job1", 4).len(), 4);
+    assert_eq!(read_results(&other, "job1", 4).len(), 4);
 }
 
 #[test]
@@ -315,7 +315,7 @@
     let answer = call(&daemon.client, "POST", "/safe/x", &[("request-id", "r1")], "late").unwrap();
     assert_eq!((answer.status, answer.headers["connection"].as_str()), (200, "close"));
     assert!(daemon.wait_end());
-    assert_eq!(read_all(&other, "job1", 4).len(), 4);
+    assert_eq!(read_results(&other, "job1", 4).len(), 4);
     let runs = platform.engine.runs.lock().unwrap();
     assert!(runs[4..].iter().all(|run| !run.ends_with("@1")), "texts go on where they were: {runs:?}");
 }
@@ -324,11 +324,11 @@
 fn the_rows_of_an_old_job_are_removed_and_those_of_an_open_one_stay() {
     let platform = Platform::start();
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
-    platform.engine.pace_ms.store(4_000, Ordering::SeqCst);
+    platform.engine.event_interval_ms.store(4_000, Ordering::SeqCst);
     assert_eq!(submit(&daemon, "open", 2), 202);
     assert_eq!(submit(&daemon, "over", 2), 202);
     assert_eq!(call(&daemon.client, "DELETE", "/trestlerack/lots/over", &[], "").unwrap().status, 200);
-    let rows = |job: &str| ["state", "specs"].map(|table| platform.store.count(table, job));
+    let rows = |job: &str| ["state", "specs"].map(|table| platform.store.row_count(table, job));
     assert!(rows("over").iter().all(|count| *count > 0));
     eventually("its rows are removed", || rows("over") == [0, 0]);
     assert!(rows("open").iter().all(|count| *count > 0), "it is not over");
@@ -350,14 +350,14 @@
     assert!(daemon.wait_end());
     assert!(begun.elapsed() < STOP_LIMIT, "{:?}", begun.elapsed());
     platform.store.refuse_writes(false);
-    assert_eq!(read_all(&other, "job1", 4).len(), 4);
+    assert_eq!(read_results(&other, "job1", 4).len(), 4);
 }
 
 #[test]
 fn a_lost_history_leads_to_reads_of_what_may_still_change() {
     let platform = Platform::start();
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
-    platform.engine.pace_ms.store(2_000, Ordering::SeqCst);
+    platform.engine.event_interval_ms.store(2_000, Ordering::SeqCst);
     assert_eq!(submit(&daemon, "open", 2), 202);
     assert_eq!(submit(&daemon, "over", 2), 202);
     assert_eq!(call(&daemon.client, "DELETE", "/trestlerack/lots/over", &[], "").unwrap().status, 200);
@@ -383,12 +383,12 @@
     let platform = Platform::start();
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
     let other = EntryDaemon::start("b", &platform.store, &[&daemon.peer]);
-    platform.engine.pace_ms.store(200, Ordering::SeqCst);
+    platform.engine.event_interval_ms.store(200, Ordering::SeqCst);
     assert_eq!(submit(&daemon, "job1", 4), 202);
     let path = "/trestlerack/lots/job1";
     eventually("the other node knows the job", || call(&other.client, "GET", path, &[], "").unwrap().status == 200);
     platform.store.silence_watches(Some("state"));
-    eventually("its results are recorded", || platform.store.count("results", "job1") == 4);
+    eventually("its results are recorded", || platform.store.row_count("results", "job1") == 4);
     assert_eq!(call(&other.client, "DELETE", path, &[], "").unwrap().status, 200);
     let nodes = node_partition(&daemon.name);
     let reads = platform.store.reads(&nodes);
@@ -406,7 +406,7 @@
     let platform = Platform::start();
     let owner = EntryDaemon::start("a", &platform.store, &[]);
     let other = EntryDaemon::start("b", &platform.store, &[&owner.peer]);
-    platform.engine.pace_ms.store(200, Ordering::SeqCst);
+    platform.engine.event_interval_ms.store(200, Ordering::SeqCst);
     assert_eq!(submit(&owner, "job1", 40), 202);
     let path = "/trestlerack/lots/job1";
     eventually("the other node knows the job", || call(&other.client, "GET", path, &[], "").unwrap().status == 200);
@@ -426,10 +426,10 @@
     let platform = Platform::start();
     let mut daemon = EntryDaemon::start("a", &platform.store, &[]);
     let other = EntryDaemon::start("b", &platform.store, &[&daemon.peer]);
-    platform.engine.pace_ms.store(300, Ordering::SeqCst);
+    platform.engine.event_interval_ms.store(300, Ordering::SeqCst);
     assert_eq!(submit(&daemon, "job1", 40), 202);
     eventually("items run", || !platform.engine.runs.lock().unwrap().is_empty());
-    platform.store.slow_down_reads("specs", 500);
+    platform.store.set_read_delay("specs", 500);
     daemon.signal("-KILL");
     daemon.wait_end();
     let reads = platform.store.reads("job1");
@@ -447,14 +447,14 @@
     let platform = Platform::start();
     let first = EntryDaemon::start("a", &platform.store, &[]);
     let second = EntryDaemon::start("b", &platform.store, &[&first.peer]);
-    platform.engine.pace_ms.store(100, Ordering::SeqCst);
+    platform.engine.event_interval_ms.store(100, Ordering::SeqCst);
     assert_eq!(submit(&first, "job1", 4), 202);
     eventually("the other node knows the job", || {
         call(&second.client, "GET", "/trestlerack/lots/job1?after=0", &[], "")
             .is_some_and(|answer| answer.status == 200)
     });
     platform.store.silence_watches(Some("state"));
-    let by_store = |job: &str| platform.store.count("results", job);
+    let by_store = |job: &str| platform.store.row_count("results", job);
     eventually("results are recorded", || by_store("job1") == 4);
     for headers in [&[][..], &[("wait-ms", "300")]] {
         let answer = call(&second.client, "GET", "/trestlerack/lots/job1?after=0", headers, "").unwrap();
--- a/crates/trestlerackd/tests/entry/levels.rs
+++ b/crates/trestlerackd/tests/entry/levels.rs
@@ -24,7 +24,7 @@
 
 impl Fleet {
     fn start(plain: usize, engines: usize) -> Self {
-        let platform = Platform::start_counts(plain, engines);
+        let platform = Platform::start_with_counts(plain, engines);
         let mut nodes: Vec<EntryDaemon> = Vec::new();
         for name in NAMES {
             let settings = DaemonSettings {
@@ -131,7 +131,7 @@
     {
         let others: Vec<&EntryDaemon> = fleet.others().collect();
         assert_eq!(submit(others[0], "job1", items), 202);
-        assert_eq!(read_all(others[1], "job1", items).len(), items);
+        assert_eq!(read_results(others[1], "job1", items).len(), items);
         assert_eq!(submit(others[2], "job2", items), 202);
     }
     // Whichever follower drives the second one, it is lost now, and the other one goes on.
@@ -139,7 +139,7 @@
     let place = fleet.nodes.iter().position(|node| *node.name == *first).unwrap();
     fleet.nodes.remove(place).signal("-KILL");
     let others: Vec<&EntryDaemon> = fleet.others().collect();
-    assert_eq!(read_all(others[3], "job2", items).len(), items);
+    assert_eq!(read_results(others[3], "job2", items).len(), items);
     let end = call(&others[1].client, "DELETE", "/trestlerack/lots/job2", &[("host", "h.example")], "");
     assert_eq!(end.map(|answer| answer.status), Some(200));
 }
--- a/crates/trestlerackd/tests/entry/main.rs
+++ b/crates/trestlerackd/tests/entry/main.rs
@@ -1,4 +1,4 @@
-//! The entry daemon as a process, against stand-ins of the users' platform.
+//! Tests of the entry daemon as a process, against stand-ins of the users' platform.
 
 mod crashes;
 mod customers;
--- a/crates/trestlerackd/tests/entry/requests.rs
+++ b/crates/trestlerackd/tests/entry/requests.rs
@@ -23,15 +23,15 @@
 fn an_answer_to_another_request_or_half_an_answer_is_never_passed_on() {
     let platform = Platform::start();
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
-    platform.plain.foreign_answers.store(1, Ordering::SeqCst);
+    platform.plain.misattributed_responses.store(1, Ordering::SeqCst);
     let answer = call(&daemon.client, "POST", "/safe/x", &[("request-id", "r1")], "one").unwrap();
     assert_eq!((answer.status, answer.body.as_str()), (200, "one"), "it may run again and did");
     assert_eq!(answer.headers["request-id"], "r1");
     assert_eq!(*platform.plain.runs.lock().unwrap(), ["r1", "r1"]);
-    platform.plain.short_answers.store(1, Ordering::SeqCst);
+    platform.plain.truncated_responses.store(1, Ordering::SeqCst);
     let answer = call(&daemon.client, "POST", "/safe/x", &[("request-id", "r2")], "two").unwrap();
     assert_eq!((answer.status, answer.body.as_str()), (200, "two"));
-    platform.plain.short_answers.store(1, Ordering::SeqCst);
+    platform.plain.truncated_responses.store(1, Ordering::SeqCst);
     let answer = call(&daemon.client, "POST", "/once/x", &[("request-id", "r3")], "three").unwrap();
     assert_eq!(answer.status, 502, "it may have run and must not run again");
     let runs = platform.plain.runs.lock().unwrap();
@@ -41,10 +41,10 @@
 /// A server that refuses a request did not run it, so it does not count against the attempts.
 #[test]
 fn refusals_leave_a_stream_its_attempts() {
-    let platform = Platform::start_behind(4, |address| address.to_string());
+    let platform = Platform::start_behind_proxies(4, |address| address.to_string());
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
-    platform.engine.refusals.store(3, Ordering::SeqCst);
-    let whole = whole_text("s1", 1).join(",");
+    platform.engine.rejections.store(3, Ordering::SeqCst);
+    let whole = complete_text("s1", 1).join(",");
     assert_eq!(read_stream(&daemon, "/streamed/x", "s1"), (whole, true));
 }
 
@@ -84,10 +84,10 @@
 fn an_answer_that_ends_with_its_connection_is_whole_unless_it_was_reset() {
     let platform = Platform::start();
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
-    platform.plain.unframed_answers.store(1, Ordering::SeqCst);
+    platform.plain.unframed_responses.store(1, Ordering::SeqCst);
     let answer = call(&daemon.client, "POST", "/once/x", &[("request-id", "r1")], "unframed").unwrap();
     assert_eq!((answer.status, answer.body.as_str()), (200, "unframed"));
-    platform.plain.reset_answers.store(1, Ordering::SeqCst);
+    platform.plain.reset_responses.store(1, Ordering::SeqCst);
     let answer = call(&daemon.client, "POST", "/once/x", &[("request-id", "r2")], "reset").unwrap();
     assert_eq!(answer.status, 502, "half an answer came: {}", answer.body);
 }
@@ -102,7 +102,7 @@
     eventually("the request runs", || !platform.plain.runs.lock().unwrap().is_empty());
     let left_at = Instant::now();
     drop(stream);
-    eventually("its server is left", || platform.plain.left.load(Ordering::SeqCst) == 1);
+    eventually("its server is left", || platform.plain.abandoned_requests.load(Ordering::SeqCst) == 1);
     assert!(left_at.elapsed() < Duration::from_millis(500));
 }
 
@@ -127,7 +127,7 @@
     );
     assert_eq!(call(&cut_off.client, "POST", "/safe/x", &[("request-id", "r1")], "x").unwrap().status, 200);
     assert_eq!(submit(&cut_off, "job1", 6), 202);
-    assert_eq!(read_all(&cut_off, "job1", 6), read_all(&peer, "job1", 6));
+    assert_eq!(read_results(&cut_off, "job1", 6), read_results(&peer, "job1", 6));
 }
 
 fn read_stream(daemon: &EntryDaemon, path: &str, id: &str) -> (String, bool) {
@@ -138,7 +138,7 @@
 fn a_broken_stream_is_resumed_where_the_route_allows_it_and_else_breaks_too() {
     let platform = Platform::start();
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
-    let whole = |id: &str| whole_text(id, 1).join(",");
+    let whole = |id: &str| complete_text(id, 1).join(",");
     assert_eq!(read_stream(&daemon, "/streamed/x", "s1"), (whole("s1"), true));
     platform.engine.broken_streams.store(1, Ordering::SeqCst);
     assert_eq!(read_stream(&daemon, "/resumed/x", "s2"), (whole("s2"), true));
--- a/crates/trestlerackd/tests/entry/room.rs
+++ b/crates/trestlerackd/tests/entry/room.rs
@@ -91,17 +91,17 @@
 #[test]
 fn a_burst_over_the_places_is_served_in_part_and_refused_early() {
     let mut count = 0;
-    let platform = Platform::start_behind(2, |address| {
+    let platform = Platform::start_behind_proxies(2, |address| {
         count += 1;
         if count == 1 { free_address() } else { address.to_string() }
     });
     platform.configure(2, customers());
     let node = RoomNode::start(&platform, "burst");
     warm_up(&platform, &node, 40);
-    platform.plain.most_at_once.store(0, Ordering::SeqCst);
+    platform.plain.peak_concurrent_runs.store(0, Ordering::SeqCst);
     let calls = [ids("other", 12), ids("urgent", 12)].concat();
     let outcomes = burst(&node.daemon.client, "/safe/x", &calls);
-    let most = platform.plain.most_at_once.load(Ordering::SeqCst);
+    let most = platform.plain.peak_concurrent_runs.load(Ordering::SeqCst);
     assert!(most <= SLOTS + SLOTS / 2, "{most} calls at once at {SLOTS} places");
     let runs = platform.plain.runs.lock().unwrap().clone();
     let mut refused = 0;
@@ -140,12 +140,12 @@
         }
     }
     assert_eq!((node.count("TR2121"), node.count("TR2122"), node.count("TR2123")), (0, 0, 0));
-    assert!(platform.plain.most_at_once.load(Ordering::SeqCst) > 2 * SLOTS);
+    assert!(platform.plain.peak_concurrent_runs.load(Ordering::SeqCst) > 2 * SLOTS);
 }
 
 /// A platform with one plain server, and a node that has learnt that its work takes some half a second.
 fn start_slow(name: &str) -> (Platform, RoomNode) {
-    let platform = Platform::start_counts(1, 1);
+    let platform = Platform::start_with_counts(1, 1);
     platform.configure(2, customers());
     let node = RoomNode::start(&platform, name);
     warm_up(&platform, &node, 550);
@@ -161,7 +161,7 @@
     platform.plain.work_ms.store(600, Ordering::SeqCst);
     let client = node.daemon.client.clone();
     let calls = std::thread::spawn(move || burst(&client, "/once/x", &ids("fill", SLOTS)));
-    eventually("the places are taken", || platform.plain.at_once.load(Ordering::SeqCst) == SLOTS);
+    eventually("the places are taken", || platform.plain.concurrent_runs.load(Ordering::SeqCst) == SLOTS);
     platform.plain.work_ms.store(50, Ordering::SeqCst);
     calls
 }
--- a/crates/trestlerackd/tests/entry/shares.rs
+++ b/crates/trestlerackd/tests/entry/shares.rs
@@ -48,7 +48,7 @@
         { "name": "small", "api_keys": ["key-small"] }]),
     );
     platform.plain.work_ms.store(100, Ordering::SeqCst);
-    platform.plain.limit_at_once(12);
+    platform.plain.limit_concurrency(12);
     let log = std::env::temp_dir().join(format!("entry-shares-{}.log", std::process::id()));
     let store = platform.store.address.to_string();
     let settings = DaemonSettings {
@@ -112,7 +112,7 @@
 fn without_customers_nothing_is_told_or_refused_for_a_share() {
     let platform = Platform::start();
     platform.plain.work_ms.store(30, Ordering::SeqCst);
-    platform.plain.limit_at_once(2);
+    platform.plain.limit_concurrency(2);
     let log = std::env::temp_dir().join(format!("entry-shares-none-{}.log", std::process::id()));
     let store = platform.store.address.to_string();
     let settings = DaemonSettings {
--- a/crates/trestlerackd/tests/entry/soak/cluster.rs
+++ b/crates/trestlerackd/tests/entry/soak/cluster.rs
@@ -1,4 +1,4 @@
-//! The processes of one soak, the links between them, and what was done to them when.
+//! The processes of one soak, the links between them, and the faults injected into them.
 
 use super::super::support::*;
 use super::link::Link;
@@ -8,57 +8,61 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// Time that a new holder of the order lease leaves the engines of the one before alone.
+/// Time for which a new holder of the order lease orders nothing from engines that its predecessor ordered.
 pub const HANDOVER: Duration = Duration::from_millis(1_500);
 
-/// Memory and descriptors of a small VM.
+/// Memory of a small VM, in megabytes.
 const MEMORY_MB: u64 = 120;
+
+/// File descriptors of a small VM.
 const MAX_DESCRIPTORS: u64 = 3_075;
 
-/// Servers of each kind.
+/// Number of plain servers, and of model engines.
 const SERVERS: usize = 3;
 
-/// Servers that some requests end, and the time after which they are back.
+/// Number of servers that crash under fatal requests.
 const FRAGILE_SERVERS: usize = 4;
-const FRAGILE_BACK: Duration = Duration::from_millis(400);
 
-/// What a disturbance touches.
+/// Time after which a crashed server is back.
+const FRAGILE_RESTART_TIME: Duration = Duration::from_millis(400);
+
+/// Nodes that a disturbance may affect.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Place {
+pub enum FaultScope {
     Node(usize),
-    /// The store, the servers or their links: any node may feel it.
+    /// Any node, because the store, the servers or their links are disturbed.
     Everywhere,
 }
 
-/// A time in which something was done to a place.
+/// A fault or planned operation, with its time and scope.
 #[derive(Clone, Debug)]
 pub struct Disturbance {
-    pub place: Place,
+    pub scope: FaultScope,
     pub what: String,
     pub from: Instant,
-    /// `None` while it lasts.
+    /// End of the disturbance; `None` while it lasts.
     pub to: Option<Instant>,
-    /// Planned work, during which no request may be cut off.
+    /// Whether it is a planned operation, during which no request may be interrupted.
     pub is_planned: bool,
 }
 
-/// A node's process and what it was told.
+/// A node's process with its addresses and links.
 pub struct SoakNode {
     pub daemon: Mutex<EntryDaemon>,
     pub client: String,
     pub store_link: Link,
-    /// Whether the soak ended the process itself, so that an end is no finding.
+    /// Whether the soak stopped the process itself, so that its exit is no violation.
     pub is_down: AtomicBool,
-    /// Counts the starts of the process.
+    /// Number of starts of the process.
     pub starts: AtomicU64,
 }
 
-/// Everything that lives as long as one soak.
-pub struct World {
+/// The state of one soak.
+pub struct SoakCluster {
     pub platform: Platform,
     pub nodes: Vec<SoakNode>,
     pub server_links: Vec<Link>,
-    /// Servers that some requests end.
+    /// Servers that crash under fatal requests.
     pub fragile: Arc<CrashingServers>,
     pub is_over: AtomicBool,
     pub logs: PathBuf,
@@ -67,20 +71,20 @@
     violations: Mutex<Vec<String>>,
     next_id: AtomicU64,
     seed: u64,
-    // Links end with the runtime that carries them.
+    // The links run on this runtime and end with it.
     _runtime: tokio::runtime::Runtime,
 }
 
-impl World {
+impl SoakCluster {
     pub fn start(seed: u64, nodes: usize) -> Arc<Self> {
         let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().unwrap();
         let mut server_links = Vec::new();
-        let platform = Platform::start_behind(SERVERS, |address| {
+        let platform = Platform::start_behind_proxies(SERVERS, |address| {
             server_links.push(Link::open(&runtime, address));
             server_links.last().unwrap().address.clone()
         });
-        platform.engine.pace_ms.store(25, Ordering::SeqCst);
-        let fragile = CrashingServers::start(&platform.store, "fragile", FRAGILE_SERVERS, FRAGILE_BACK);
+        platform.engine.event_interval_ms.store(25, Ordering::SeqCst);
+        let fragile = CrashingServers::start(&platform.store, "fragile", FRAGILE_SERVERS, FRAGILE_RESTART_TIME);
         let logs = std::env::temp_dir().join(format!("soak-{seed}-{}", std::process::id()));
         std::fs::create_dir_all(&logs).unwrap();
         let mut started: Vec<SoakNode> = Vec::new();
@@ -131,7 +135,7 @@
         self.nodes[node].daemon.lock().unwrap()
     }
 
-    /// Records that a promise was broken.
+    /// Records a violated guarantee.
     pub fn violation(&self, what: String) {
         let at = self.started.elapsed().as_secs_f64();
         self.violations.lock().unwrap().push(format!("{at:.3} s: {what}"));
@@ -141,46 +145,55 @@
         self.violations.lock().unwrap().clone()
     }
 
-    /// Records the begin of a disturbance; returns its number.
-    pub fn disturb(&self, place: Place, what: impl Into<String>, is_planned: bool) -> usize {
+    /// Records the start of a disturbance and returns its index.
+    pub fn begin_disturbance(&self, scope: FaultScope, what: impl Into<String>, is_planned: bool) -> usize {
         let mut disturbances = self.disturbances.lock().unwrap();
-        disturbances.push(Disturbance { place, what: what.into(), from: Instant::now(), to: None, is_planned });
+        disturbances.push(Disturbance { scope, what: what.into(), from: Instant::now(), to: None, is_planned });
         disturbances.len() - 1
     }
 
     /// Records the end of a disturbance.
-    pub fn settle(&self, number: usize) {
-        self.disturbances.lock().unwrap()[number].to = Some(Instant::now());
+    pub fn end_disturbance(&self, index: usize) {
+        self.disturbances.lock().unwrap()[index].to = Some(Instant::now());
     }
 
-    /// Returns whether a node was left alone from `margin` before `from` until `to`, planned work
-    /// aside if `allows_planned`.
-    pub fn was_calm(&self, node: usize, from: Instant, to: Instant, margin: Duration, allows_planned: bool) -> bool {
+    /// Returns whether no disturbance affected a node between `from` and `to`, or ended less than `margin`
+    /// before `from`. Planned operations do not count if `allows_planned` is set.
+    pub fn was_undisturbed(
+        &self,
+        node: usize,
+        from: Instant,
+        to: Instant,
+        margin: Duration,
+        allows_planned: bool,
+    ) -> bool {
         let disturbances = self.disturbances.lock().unwrap();
-        let touches = |held: &Disturbance| {
-            let is_here = held.place == Place::Everywhere || held.place == Place::Node(node);
-            let counts = !(held.is_planned && allows_planned);
-            is_here && counts && held.from <= to && held.to.is_none_or(|end| end + margin >= from)
+        let touches = |disturbance: &Disturbance| {
+            let affects_node =
+                disturbance.scope == FaultScope::Everywhere || disturbance.scope == FaultScope::Node(node);
+            let counts = !(disturbance.is_planned && allows_planned);
+            affects_node && counts && disturbance.from <= to && disturbance.to.is_none_or(|end| end + margin >= from)
         };
         !disturbances.iter().any(touches)
     }
 
-    /// Returns whether a node, or what it is linked to, came back less than `within` before `at`.
-    pub fn just_woke(&self, node: usize, at: Instant, within: Duration) -> bool {
+    /// Returns whether a disturbance of a node was active at `at`, or ended less than `within` before it.
+    pub fn recovered_recently(&self, node: usize, at: Instant, within: Duration) -> bool {
         let disturbances = self.disturbances.lock().unwrap();
-        disturbances.iter().any(|held| {
-            let is_here = held.place == Place::Everywhere || held.place == Place::Node(node);
-            is_here && held.from <= at && held.to.is_none_or(|end| at <= end + within)
+        disturbances.iter().any(|disturbance| {
+            let affects_node =
+                disturbance.scope == FaultScope::Everywhere || disturbance.scope == FaultScope::Node(node);
+            affects_node && disturbance.from <= at && disturbance.to.is_none_or(|end| at <= end + within)
         })
     }
 
-    /// Returns what was done when, one line each.
-    pub fn story(&self) -> Vec<String> {
+    /// Returns a line with time, scope and description for each disturbance.
+    pub fn disturbance_log(&self) -> Vec<String> {
         let seconds = |at: Instant| at.saturating_duration_since(self.started).as_secs_f64();
         let disturbances = self.disturbances.lock().unwrap();
-        let line = |held: &Disturbance| {
-            let until = held.to.map_or_else(|| "the end".to_owned(), |to| format!("{:.3} s", seconds(to)));
-            format!("{:.3} s to {until}: {:?} {}", seconds(held.from), held.place, held.what)
+        let line = |disturbance: &Disturbance| {
+            let until = disturbance.to.map_or_else(|| "the end".to_owned(), |to| format!("{:.3} s", seconds(to)));
+            format!("{:.3} s to {until}: {:?} {}", seconds(disturbance.from), disturbance.scope, disturbance.what)
         };
         disturbances.iter().map(line).collect()
     }
--- a/crates/trestlerackd/tests/entry/soak/link.rs
+++ b/crates/trestlerackd/tests/entry/soak/link.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy whose connections can be delayed, cut one way, silenced or reset.
+//! A loopback proxy that can delay, block in one direction, silence or reset its connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,57 +8,57 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// What a link does with the bytes that it gets.
+/// How a link treats the bytes that it receives.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LinkMode {
     Pass,
-    /// Each piece waits so long.
+    /// Delays each read by this time.
     Slow(Duration),
-    /// Nothing of what the caller sends arrives; it is held back until the link heals.
-    CutForth,
-    /// Nothing of what the callee sends arrives.
-    CutBack,
-    /// Nothing arrives either way, and new connections hang.
+    /// Holds back what the caller sends until the mode changes.
+    HoldRequests,
+    /// Holds back what the callee sends until the mode changes.
+    HoldResponses,
+    /// Holds back both directions; new connections hang.
     Silent,
-    /// New connections are reset.
+    /// Resets new connections.
     Refuse,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct LinkState {
     mode: LinkMode,
-    /// Connections that were opened before the last reset are broken.
+    /// Number of resets; connections opened before the last one are broken.
     resets: u64,
-    /// Connections that were opened before the last silence carry nothing any more.
+    /// Number of permanent silences; connections opened before the last one carry nothing.
     silences: u64,
 }
 
 impl LinkState {
-    fn passes(&self, direction: Direction, born: &Self) -> bool {
-        let is_cut = match self.mode {
+    fn passes(&self, direction: Direction, opened: &Self) -> bool {
+        let is_held_back = match self.mode {
             LinkMode::Pass | LinkMode::Slow(_) | LinkMode::Refuse => false,
-            LinkMode::CutForth => direction == Direction::Forth,
-            LinkMode::CutBack => direction == Direction::Back,
+            LinkMode::HoldRequests => direction == Direction::ToCallee,
+            LinkMode::HoldResponses => direction == Direction::ToCaller,
             LinkMode::Silent => true,
         };
-        !is_cut && self.silences == born.silences
+        !is_held_back && self.silences == opened.silences
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Direction {
-    Forth,
-    Back,
+    ToCallee,
+    ToCaller,
 }
 
-/// A link to one address.
+/// A proxy to one address.
 pub struct Link {
     pub address: String,
     state: watch::Sender<LinkState>,
 }
 
 impl Link {
-    /// Opens a link to `callee` on the given runtime.
+    /// Starts a link to `callee` on the given runtime.
     pub fn open(runtime: &tokio::runtime::Runtime, callee: SocketAddr) -> Self {
         let state = watch::channel(LinkState { mode: LinkMode::Pass, resets: 0, silences: 0 }).0;
         let listener = runtime.block_on(TcpListener::bind("127.0.0.1:0")).unwrap();
@@ -66,7 +66,7 @@
         let seen = state.subscribe();
         runtime.spawn(async move {
             while let Ok((caller, _)) = listener.accept().await {
-                tokio::spawn(carry(caller, callee, seen.clone()));
+                tokio::spawn(proxy_connection(caller, callee, seen.clone()));
             }
         });
         Self { address, state }
@@ -81,15 +81,15 @@
         self.state.send_modify(|state| state.resets += 1);
     }
 
-    /// Silences all open connections for good; new ones work.
+    /// Silences all open connections permanently; new ones work.
     pub fn silence_open(&self) {
         self.state.send_modify(|state| state.silences += 1);
     }
 }
 
-async fn carry(caller: TcpStream, callee: SocketAddr, mut state: watch::Receiver<LinkState>) {
-    let born = *state.borrow_and_update();
-    if born.mode == LinkMode::Refuse {
+async fn proxy_connection(caller: TcpStream, callee: SocketAddr, mut state: watch::Receiver<LinkState>) {
+    let opened = *state.borrow_and_update();
+    if opened.mode == LinkMode::Refuse {
         return reset(&caller);
     }
     let Ok(callee) = TcpStream::connect(callee).await else { return reset(&caller) };
@@ -97,10 +97,10 @@
     let _ = (caller.set_nodelay(true), callee.set_nodelay(true));
     let (caller_in, caller_out) = caller.into_split();
     let (callee_in, callee_out) = callee.into_split();
-    let forth = pump(caller_in, callee_out, Direction::Forth, born, state.clone());
-    let back = pump(callee_in, caller_out, Direction::Back, born, state.clone());
-    if tokio::try_join!(forth, back).is_err() {
-        // Whoever still reads or writes sees a reset, as after a broken connection.
+    let to_callee = copy_bytes(caller_in, callee_out, Direction::ToCallee, opened, state.clone());
+    let to_caller = copy_bytes(callee_in, caller_out, Direction::ToCaller, opened, state.clone());
+    if tokio::try_join!(to_callee, to_caller).is_err() {
+        // Both ends see a reset, as after a broken connection.
         for handle in handles {
             let _ = handle.set_linger(Some(Duration::ZERO));
         }
@@ -115,24 +115,24 @@
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-async fn pump(
+async fn copy_bytes(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     direction: Direction,
-    born: LinkState,
+    opened: LinkState,
     mut state: watch::Receiver<LinkState>,
 ) -> io::Result<()> {
     let mut buffer = vec![0; 16 * 1024];
     loop {
         let read = tokio::select! {
             read = from.read(&mut buffer) => read?,
-            broken = wait_reset(state.clone(), born) => return broken,
+            broken = wait_reset(state.clone(), opened) => return broken,
         };
         let allowed = *state
-            .wait_for(|state| state.resets != born.resets || state.passes(direction, &born))
+            .wait_for(|state| state.resets != opened.resets || state.passes(direction, &opened))
             .await
             .map_err(io::Error::other)?;
-        if allowed.resets != born.resets {
+        if allowed.resets != opened.resets {
             return Err(io::ErrorKind::ConnectionReset.into());
         }
         if let LinkMode::Slow(pause) = allowed.mode {
@@ -145,7 +145,7 @@
     }
 }
 
-async fn wait_reset(mut state: watch::Receiver<LinkState>, born: LinkState) -> io::Result<()> {
-    state.wait_for(|state| state.resets != born.resets).await.map_err(io::Error::other)?;
+async fn wait_reset(mut state: watch::Receiver<LinkState>, opened: LinkState) -> io::Result<()> {
+    state.wait_for(|state| state.resets != opened.resets).await.map_err(io::Error::other)?;
     Err(io::ErrorKind::ConnectionReset.into())
 }
--- a/crates/trestlerackd/tests/entry/store_rate.rs
+++ b/crates/trestlerackd/tests/entry/store_rate.rs
@@ -1,12 +1,13 @@
-//! A store that refuses calls for their rate: no storm of retries, and no way around the rate.
+//! Tests of a store that rejects calls for their rate: retries back off, and peers are not used to bypass
+//! the limit.
 
 use super::support::*;
 use std::time::Duration;
 
-/// All nodes start while the store takes no transactions. What they send while it refuses must not
-/// grow with time, and everything works as soon as it takes them again.
+/// All nodes start while the store rejects transactions for their rate. Their retries must back off, and all
+/// nodes must work once the store accepts transactions again.
 #[test]
-fn nodes_that_are_refused_for_a_rate_try_ever_more_seldom_and_do_not_ask_peers() {
+fn rate_limited_nodes_back_off_and_do_not_ask_peers() {
     let platform = Platform::start();
     platform.store.refuse_commit_rate(true);
     let first = EntryDaemon::start("a", &platform.store, &[]);
@@ -16,52 +17,53 @@
     let commits = platform.store.commits();
     assert!(commits <= 3 * 8, "{commits} transactions of three nodes in four seconds");
     platform.store.refuse_commit_rate(false);
-    eventually("all nodes are registered", || registered(&platform) == 3);
+    eventually("all nodes are registered", || registered_count(&platform) == 3);
     assert_eq!(submit(&daemons[0], "job1", 2), 202);
-    assert_eq!(read_all(&first, "job1", 2).len(), 2);
+    assert_eq!(read_results(&first, "job1", 2).len(), 2);
 }
 
-fn registered(platform: &Platform) -> usize {
+fn registered_count(platform: &Platform) -> usize {
     ["a", "b", "c"]
         .iter()
         .map(|name| trestlerack::process::node_partition(name))
         .collect::<std::collections::BTreeSet<_>>()
         .iter()
-        .map(|partition| platform.store.count("state", partition))
+        .map(|partition| platform.store.row_count("state", partition))
         .sum()
 }
 
-/// The store refuses most of the nodes. Each serves on through one that it serves, without a pause
-/// at each call whose first relays are refused too.
+/// The store rejects most of the nodes. Each of them must call it through the one node that is served, without
+/// a delay at each call because other rejected nodes are asked first.
 #[test]
-fn a_refused_node_goes_on_through_the_peer_that_relayed_before() {
+fn a_rejected_node_keeps_to_the_peer_that_relayed_before() {
     let platform = Platform::start();
     let served = EntryDaemon::start("a", &platform.store, &[]);
-    let refusing = refusing_store().to_string();
+    let rejecting = refusing_store().to_string();
     let start = |name: &str| {
         let seeds = vec![served.peer.clone()];
-        EntryDaemon::start_with(name, &DaemonSettings { store: refusing.clone(), seeds, ..DaemonSettings::default() })
+        EntryDaemon::start_with(name, &DaemonSettings { store: rejecting.clone(), seeds, ..DaemonSettings::default() })
     };
-    let refused: Vec<EntryDaemon> = ["b", "c", "d", "e", "f"].into_iter().map(start).collect();
+    let rejected: Vec<EntryDaemon> = ["b", "c", "d", "e", "f"].into_iter().map(start).collect();
     std::thread::sleep(Duration::from_secs(1));
     let mut late = 0;
     for job in 0..12 {
-        let begun = std::time::Instant::now();
-        assert_eq!(submit(&refused[job % refused.len()], &format!("job{job}"), 2), 202);
-        late += usize::from(begun.elapsed() >= Duration::from_millis(200));
+        let started = std::time::Instant::now();
+        assert_eq!(submit(&rejected[job % rejected.len()], &format!("job{job}"), 2), 202);
+        late += usize::from(started.elapsed() >= Duration::from_millis(200));
     }
-    assert!(late <= 1, "{late} of 12 submissions waited");
+    assert!(late <= 1, "{late} of 12 submissions took 200 ms or more");
 }
 
-/// The store may refuse one node with the status that it has for rates, whatever that node calls.
+/// The store rejects every call of one node with the status of a rate limit. The node must serve through
+/// peers instead of backing off.
 #[test]
-fn a_node_that_alone_is_refused_with_the_status_of_a_rate_serves_on_through_peers() {
+fn a_node_rejected_with_the_rate_limit_status_serves_through_peers() {
     let platform = Platform::start();
     let other = EntryDaemon::start("a", &platform.store, &[]);
-    let refusing = refusing_store();
+    let rejecting = refusing_store();
     let settings =
-        DaemonSettings { store: refusing.to_string(), seeds: vec![other.peer.clone()], ..DaemonSettings::default() };
-    let refused = EntryDaemon::start_with("b", &settings);
-    assert_eq!(submit(&refused, "job1", 2), 202);
-    assert_eq!(read_all(&refused, "job1", 2).len(), 2);
+        DaemonSettings { store: rejecting.to_string(), seeds: vec![other.peer.clone()], ..DaemonSettings::default() };
+    let rejected = EntryDaemon::start_with("b", &settings);
+    assert_eq!(submit(&rejected, "job1", 2), 202);
+    assert_eq!(read_results(&rejected, "job1", 2).len(), 2);
 }
--- a/crates/trestlerackd/tests/entry/support/client.rs
+++ b/crates/trestlerackd/tests/entry/support/client.rs
@@ -1,6 +1,6 @@
 //! A small HTTP client.
 
-use super::PATIENCE;
+use super::WAIT_TIMEOUT;
 use super::server::read_headers;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -24,7 +24,7 @@
 /// Makes a call on a connection of its own; `None` if no whole answer came.
 pub fn call(address: &str, method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> Option<Answer> {
     let mut stream = TcpStream::connect(address).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     send(&mut stream, method, path, headers, body)?;
     read_answer(&mut BufReader::new(stream))
 }
--- a/crates/trestlerackd/tests/entry/support/crashing.rs
+++ b/crates/trestlerackd/tests/entry/support/crashing.rs
@@ -1,6 +1,6 @@
 //! Backend servers that end when they run certain requests, and come back as new instances.
 
-use super::platform::{EVENTS, event_data, register};
+use super::platform::{EVENTS_PER_STREAM, event_data, register};
 use super::server::{Received, read_request, reply};
 use super::store::StandinStore;
 use serde_json::json;
@@ -160,7 +160,7 @@
     /// Sends the events after the one that the request names; a fatal request gets only the first ones.
     fn stream_events(&self, request: &Received, stream: &mut TcpStream, id: &str, is_fatal: bool) -> bool {
         let first = request.headers.get("last-event-id").map_or(1, |last| last.parse::<u64>().unwrap() + 1);
-        let events = if is_fatal { self.events_before_end.load(Ordering::SeqCst) as u64 } else { EVENTS };
+        let events = if is_fatal { self.events_before_end.load(Ordering::SeqCst) as u64 } else { EVENTS_PER_STREAM };
         if is_fatal && events == 0 {
             std::thread::sleep(WORK_TIME);
             return false;
@@ -173,7 +173,7 @@
         if !write(head) {
             return false;
         }
-        for number in (first..=EVENTS).take(events as usize) {
+        for number in (first..=EVENTS_PER_STREAM).take(events as usize) {
             std::thread::sleep(self.work_time() / 5);
             let event = format!("id: {number}\ndata: {}\n\n", event_data(id, number, 1));
             if !write(format!("{:x}\r\n{event}\r\n", event.len())) {
--- a/crates/trestlerackd/tests/entry/support/daemon.rs
+++ b/crates/trestlerackd/tests/entry/support/daemon.rs
@@ -1,4 +1,4 @@
-//! The entry daemon as a process.
+//! Starts and controls the entry daemon as a process.
 
 use super::store::StandinStore;
 use super::{call, eventually};
@@ -10,7 +10,7 @@
 use std::sync::{Mutex, MutexGuard, OnceLock, PoisonError};
 use std::time::Duration;
 
-/// An entry daemon.
+/// An entry daemon process.
 pub struct EntryDaemon {
     child: Child,
     pub name: String,
@@ -21,53 +21,53 @@
     log: Option<PathBuf>,
 }
 
-/// Time that a daemon has from a planned stop to its end.
+/// Time limit of a planned stop.
 pub const STOP_LIMIT: Duration = Duration::from_secs(5);
 
-/// Time for which ended jobs can be read; longer than any test that reads one takes.
+/// Time for which ended jobs can be read, in seconds; longer than any test that reads one takes.
 const RETENTION_S: u64 = 12;
 
-/// First port given to daemons; below the range from which outgoing connections take theirs, so
-/// that none of those sits on it when the daemon starts.
+/// First port given to daemons. It is below the range of ephemeral ports, so that no outgoing connection uses
+/// it when the daemon starts.
 const FIRST_PORT: u16 = 15_000;
 
-/// Ports that one run of the tests goes through, over and over.
-const PORTS_OF_RUN: u16 = 512;
+/// Ports of one test run, which are reused in turn.
+const PORTS_PER_RUN: u16 = 512;
 
-/// Runs of the tests that may go on at the same time.
-const RUNS: u16 = 32;
+/// Maximum number of concurrent test runs on this machine.
+const MAX_RUNS: u16 = 32;
 
-/// Returns the first port of a range that no other run uses: the one before it stays bound for as
-/// long as this run lasts. A daemon that is down must find its ports free when it starts again.
-fn own_ports() -> u16 {
+/// Returns the first port of a range that no other run uses, because a restarted daemon must find its ports
+/// free. The port before the range stays bound during this run as a lock.
+fn reserved_ports() -> u16 {
     static GUARD: OnceLock<(TcpListener, u16)> = OnceLock::new();
     let claim = || {
-        let guards = (0..RUNS).map(|run| FIRST_PORT + run * PORTS_OF_RUN);
+        let guards = (0..MAX_RUNS).map(|run| FIRST_PORT + run * PORTS_PER_RUN);
         let mut claims = guards.filter_map(|guard| Some((TcpListener::bind(("127.0.0.1", guard)).ok()?, guard + 1)));
         claims.next().expect("a free range of ports")
     };
     GUARD.get_or_init(claim).1
 }
 
-/// Held while a port is tried and while a process is started: between its fork and its exec a child holds all
-/// sockets of this process, and a daemon would find a port in use that was only being tried.
-static FORKS: Mutex<()> = Mutex::new(());
+/// Held while a port is tested and while a process is spawned. Between fork and exec a child holds all sockets
+/// of this process, so a daemon would find a port in use that was only being tested.
+static FORK_LOCK: Mutex<()> = Mutex::new(());
 
-/// Returns an address that nothing listens on, another one at each call for a long while.
+/// Returns an address without a listener. Addresses repeat only after all ports of this run were used.
 pub fn free_address() -> String {
     static NEXT: AtomicU16 = AtomicU16::new(0);
-    let _no_fork = lock_forks();
+    let _fork_guard = lock_fork();
     loop {
-        let port = own_ports() + NEXT.fetch_add(1, Ordering::SeqCst) % (PORTS_OF_RUN - 1);
+        let port = reserved_ports() + NEXT.fetch_add(1, Ordering::SeqCst) % (PORTS_PER_RUN - 1);
         if let Ok(listener) = TcpListener::bind(("127.0.0.1", port)) {
             return listener.local_addr().unwrap().to_string();
         }
     }
 }
 
-fn lock_forks() -> MutexGuard<'static, ()> {
-    // A test that failed meanwhile leaves nothing half done.
-    FORKS.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock_fork() -> MutexGuard<'static, ()> {
+    // The lock protects no data, so a test that panicked while holding it leaves nothing inconsistent.
+    FORK_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// Settings of a daemon that tests choose.
@@ -76,15 +76,16 @@
     /// Address of the store.
     pub store: String,
     pub seeds: Vec<String>,
-    /// Time that a new holder of the order lease leaves the engines of the one before alone.
+    /// Time for which a new holder of the order lease orders nothing from engines that its predecessor
+    /// ordered.
     pub order_handover_ms: u64,
-    /// Time for which ended jobs can be read.
+    /// Time for which ended jobs can be read, in seconds.
     pub retention_s: u64,
-    /// Share of a processor core that the VM has.
+    /// Number of processor cores of the VM; may be a fraction.
     pub cpu_share: f64,
-    /// Collector of spans.
+    /// Endpoint of the span collector; empty for none.
     pub otlp_endpoint: String,
-    /// File that takes the log; it is thrown away without one.
+    /// File for the log, which is discarded if `None`.
     pub log: Option<PathBuf>,
     /// Further fields of the settings file.
     pub more: Value,
@@ -146,7 +147,7 @@
     pub fn signal(&self, signal: &str) {
         let process = self.child.id().to_string();
         let kill = {
-            let _no_trial = lock_forks();
+            let _fork_guard = lock_fork();
             Command::new("kill").args([signal, &process]).spawn()
         };
         let status = kill.unwrap().wait().unwrap();
@@ -157,12 +158,13 @@
     pub fn cpu_time(&self) -> Duration {
         const TICK: Duration = Duration::from_millis(10);
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
-        // The name, in parentheses, may hold spaces; of what follows, these are user and system time.
+        // The name in parentheses may contain spaces. Fields 11 and 12 after it, counted from 0, are user and
+        // system time.
         let fields = stat.rsplit_once(") ").unwrap().1.split(' ').skip(11).take(2);
         fields.map(|ticks| TICK * ticks.parse::<u32>().unwrap()).sum()
     }
 
-    /// Returns the bytes of memory that the process has resident now, and had at most so far.
+    /// Returns the current and the peak resident memory of the process, in bytes.
     pub fn resident_bytes(&self) -> (usize, usize) {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let field = |name: &str| -> usize {
@@ -172,7 +174,7 @@
         (field("VmRSS:"), field("VmHWM:"))
     }
 
-    /// Starts the process again, with the settings that it had.
+    /// Starts the process again with the same settings.
     pub fn restart(&mut self) {
         self.child = spawn(&self.settings, self.log.as_deref());
     }
@@ -188,7 +190,7 @@
         self.child.try_wait().unwrap().is_none()
     }
 
-    /// Waits for the end and returns whether the daemon ended by itself without a failure.
+    /// Waits for the exit of the daemon and returns whether its exit status is success.
     pub fn wait_end(&mut self) -> bool {
         let mut ended = None;
         eventually("the daemon ends", || {
@@ -204,7 +206,7 @@
         let file = std::fs::OpenOptions::new().create(true).append(true).open(log);
         file.unwrap().into()
     });
-    let _no_trial = lock_forks();
+    let _fork_guard = lock_fork();
     Command::new(env!("CARGO_BIN_EXE_trestlerackd"))
         .args(["entry", "--settings"])
         .arg(settings)
--- a/crates/trestlerackd/tests/entry/support/mod.rs
+++ b/crates/trestlerackd/tests/entry/support/mod.rs
@@ -1,5 +1,4 @@
-//! Small stand-ins for the users' platform, all in this process, and the entry daemon as a process
-//! of its own.
+//! In-process stand-ins for the users' platform, and the entry daemon as a separate process.
 
 mod client;
 mod crashing;
@@ -14,24 +13,24 @@
 pub use daemon::{DaemonSettings, EntryDaemon, STOP_LIMIT, free_address};
 pub use duties::{DutyCall, DutyPlatform};
 pub use platform::{
-    EVENTS, EngineOrder, Platform, ServerMode, job_body_of, job_body_with, read_all, read_stream_from, read_stream_of,
-    submit, whole_text,
+    EVENTS_PER_STREAM, EngineOrder, Platform, ServerMode, complete_text, job_body_of, job_body_with, read_results,
+    read_stream_from, read_stream_with_body, submit,
 };
 pub use server::{refusing_store, reply, serve};
 
 use std::time::{Duration, Instant};
 
-/// Time in which anything that is waited for has to happen.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of every wait for a condition.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until something holds.
+/// Waits until a condition holds; panics after [`WAIT_TIMEOUT`].
 pub fn eventually(what: &str, holds: impl FnMut() -> bool) {
     eventually_with_detail(what, holds, String::new);
 }
 
 /// Like [`eventually`], but appends the output of `detail` to the failure message.
 pub fn eventually_with_detail(what: &str, mut holds: impl FnMut() -> bool, detail: impl Fn() -> String) {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + WAIT_TIMEOUT;
     while !holds() {
         assert!(Instant::now() < until, "timed out waiting until {what}; {}", detail());
         std::thread::sleep(Duration::from_millis(10));
--- a/crates/trestlerackd/tests/entry/support/platform.rs
+++ b/crates/trestlerackd/tests/entry/support/platform.rs
@@ -1,4 +1,4 @@
-//! The platform as a whole: its store, plain servers and model engines.
+//! Stand-in of the users' platform: its store, plain servers and model engines.
 
 use super::daemon::EntryDaemon;
 use super::server::{Received, reply, serve};
@@ -14,78 +14,81 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Load that plain servers state: requests that run, that wait and that can run, and how long work takes.
-const STATED_LOAD: &str = "1,0,4,100";
+/// Load that plain servers report: running requests, waiting requests, capacity and service time in
+/// milliseconds.
+const REPORTED_LOAD: &str = "1,0,4,100";
 
-/// Events of each stream of an engine.
-pub const EVENTS: u64 = 5;
+/// Number of events in each stream of an engine.
+pub const EVENTS_PER_STREAM: u64 = 5;
 
-/// What stand-in servers do and have seen.
+/// Injected faults and recorded requests of stand-in servers. A count of faults applies to as many of the next
+/// requests.
 #[derive(Default)]
 pub struct ServerBehaviour {
-    /// Requests that ran, by id; with the first event for those of engines.
+    /// Ids of requests that ran; those of engines have the form `id@first_event`.
     pub runs: Mutex<Vec<String>>,
-    /// Headers of the requests that ran, by id.
+    /// Headers of requests that ran, by request id.
     pub headers: Mutex<HashMap<String, BTreeMap<String, String>>>,
-    /// Trace contexts that came with requests.
+    /// Trace contexts received with requests.
     pub trace_contexts: Mutex<Vec<String>>,
-    /// Answers that bear the id of another request.
-    pub foreign_answers: AtomicUsize,
-    /// Answers without a length, which end with their connection.
-    pub unframed_answers: AtomicUsize,
-    /// Answers without a length whose connection is reset.
-    pub reset_answers: AtomicUsize,
-    /// Answers whose body breaks off.
-    pub short_answers: AtomicUsize,
-    /// Requests that ran and are answered with the failure that a passed deadline brings.
-    pub overdue_answers: AtomicUsize,
-    /// Requests that are refused as not run.
-    pub refusals: AtomicUsize,
-    /// Requests that are never answered.
+    /// Responses to send with the id of another request.
+    pub misattributed_responses: AtomicUsize,
+    /// Responses to send without a length, delimited by the end of the connection.
+    pub unframed_responses: AtomicUsize,
+    /// Responses to send without a length whose connection is reset.
+    pub reset_responses: AtomicUsize,
+    /// Responses to truncate within the body.
+    pub truncated_responses: AtomicUsize,
+    /// Requests to run and answer with 504, as after a missed deadline.
+    pub timeout_responses: AtomicUsize,
+    /// Requests to reject as not run.
+    pub rejections: AtomicUsize,
+    /// Whether no request is answered.
     pub hangs: AtomicBool,
-    /// How many requests are never answered.
-    pub silent_answers: AtomicUsize,
-    /// Most requests that plain servers run at once, all together; the others are refused. 0 for any.
-    limit: AtomicUsize,
-    /// Time that a plain server works on a request, in milliseconds.
+    /// Requests to leave unanswered.
+    pub unanswered_requests: AtomicUsize,
+    /// Maximum concurrent requests of all plain servers together, or 0 for no limit; others are rejected.
+    concurrency_limit: AtomicUsize,
+    /// Service time of a plain server, in milliseconds.
     pub work_ms: AtomicUsize,
-    /// Whether plain servers state their load, with how long work takes there.
-    pub states_slowness: AtomicBool,
-    /// How one plain server, by its number, differs from the others.
-    pub uneven: Mutex<Option<(usize, ServerMode)>>,
-    /// Requests that ran, by the number of their plain server.
-    pub runs_at: Mutex<BTreeMap<usize, usize>>,
-    /// Requests that plain servers work on, and the most so far.
-    pub at_once: AtomicUsize,
-    pub most_at_once: AtomicUsize,
-    /// Connections that were closed by the caller while a request hung.
-    pub left: AtomicUsize,
-    /// Bytes of the answers to requests whose path ends in "large".
+    /// Whether plain servers report their load with each response.
+    pub reports_load: AtomicBool,
+    /// Number of one plain server that differs from the others, and how.
+    pub differing_server: Mutex<Option<(usize, ServerMode)>>,
+    /// Number of requests that ran, by the number of their plain server.
+    pub runs_by_server: Mutex<BTreeMap<usize, usize>>,
+    /// Requests that plain servers are running.
+    pub concurrent_runs: AtomicUsize,
+    /// Maximum of that number so far.
+    pub peak_concurrent_runs: AtomicUsize,
+    /// Unanswered requests whose connection the caller closed.
+    pub abandoned_requests: AtomicUsize,
+    /// Size of the responses to requests whose path ends in "large", in bytes.
     pub large_bytes: AtomicUsize,
-    /// Pause between two events, in milliseconds.
-    pub pace_ms: AtomicUsize,
-    /// Bytes by which each event is longer than what it tells.
-    pub event_bytes: AtomicUsize,
-    /// Streams that break off within their third event.
+    /// Time before each event of a stream, in milliseconds.
+    pub event_interval_ms: AtomicUsize,
+    /// Padding of each event, in bytes.
+    pub event_padding: AtomicUsize,
+    /// Streams to break off within their third event.
     pub broken_streams: AtomicUsize,
-    /// When each request last began to run, by id.
+    /// Last start of each request, by id.
     pub last_runs: Mutex<HashMap<String, Instant>>,
-    /// Orders that engines accepted, in the order of their arrival.
+    /// Orders that engines accepted, in order of arrival.
     pub orders: Mutex<Vec<EngineOrder>>,
-    /// Orders that are carried out and whose answer is lost.
-    pub lost_orders: AtomicUsize,
-    /// Questions for a report that the first engine never answers.
-    pub silent_reports: AtomicUsize,
-    /// When the caller gave such a question up.
-    pub reports_given_up: Mutex<Vec<Instant>>,
+    /// Orders to carry out without a response.
+    pub unanswered_orders: AtomicUsize,
+    /// Polls for a report that the first engine leaves unanswered.
+    pub unanswered_reports: AtomicUsize,
+    /// Times at which the caller closed the connection of such a poll.
+    pub abandoned_reports: Mutex<Vec<Instant>>,
 }
 
-/// How a plain server differs.
+/// How one plain server differs from the others.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServerMode {
-    /// It takes so many milliseconds more.
+    /// Responds this many milliseconds later.
     Slow(u64),
-    /// It answers with an error of its own.
+    /// Responds with status 500.
     Failing,
 }
 
@@ -100,49 +103,54 @@
 }
 
 impl ServerBehaviour {
-    /// Bounds how many requests plain servers run at once.
-    pub fn limit_at_once(&self, most: usize) {
-        self.limit.store(most, Ordering::SeqCst);
+    /// Limits the concurrent requests of all plain servers together.
+    pub fn limit_concurrency(&self, limit: usize) {
+        self.concurrency_limit.store(limit, Ordering::SeqCst);
     }
 
     fn is_full(&self) -> bool {
-        let most = self.limit.load(Ordering::SeqCst);
-        most > 0 && self.at_once.load(Ordering::SeqCst) >= most
+        let limit = self.concurrency_limit.load(Ordering::SeqCst);
+        limit > 0 && self.concurrent_runs.load(Ordering::SeqCst) >= limit
     }
 }
 
-fn take(count: &AtomicUsize) -> bool {
+fn take_one(count: &AtomicUsize) -> bool {
     count.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |left| left.checked_sub(1)).is_ok()
 }
 
-/// A plain server, which is also the scoring service; it answers with the body that it got.
+/// Starts a plain server, which is also the scoring service and returns the request body.
 fn plain_server(behaviour: Arc<ServerBehaviour>, number: usize) -> SocketAddr {
     serve(move |request, stream| {
         let id = request.headers["request-id"].clone();
-        if take(&behaviour.refusals) || behaviour.is_full() {
+        if take_one(&behaviour.rejections) || behaviour.is_full() {
             return reply(stream, 503, &[("request-id", &id), ("not-executed", "1")], "");
         }
         behaviour.runs.lock().unwrap().push(id.clone());
         behaviour.headers.lock().unwrap().insert(id.clone(), request.headers.clone());
         behaviour.trace_contexts.lock().unwrap().extend(request.headers.get("traceparent").cloned());
-        if behaviour.hangs.load(Ordering::SeqCst) || take(&behaviour.silent_answers) {
+        if behaviour.hangs.load(Ordering::SeqCst) || take_one(&behaviour.unanswered_requests) {
             let mut byte = [0];
             stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
             if matches!(stream.peek(&mut byte), Ok(0) | Err(_)) {
-                behaviour.left.fetch_add(1, Ordering::SeqCst);
+                behaviour.abandoned_requests.fetch_add(1, Ordering::SeqCst);
             }
             return false;
         }
-        let at_once = behaviour.at_once.fetch_add(1, Ordering::SeqCst) + 1;
-        behaviour.most_at_once.fetch_max(at_once, Ordering::SeqCst);
+        let concurrent = behaviour.concurrent_runs.fetch_add(1, Ordering::SeqCst) + 1;
+        behaviour.peak_concurrent_runs.fetch_max(concurrent, Ordering::SeqCst);
         std::thread::sleep(Duration::from_millis(behaviour.work_ms.load(Ordering::SeqCst) as u64));
-        *behaviour.runs_at.lock().unwrap().entry(number).or_default() += 1;
-        let mode = behaviour.uneven.lock().unwrap().filter(|(uneven, _)| *uneven == number).map(|(_, mode)| mode);
+        *behaviour.runs_by_server.lock().unwrap().entry(number).or_default() += 1;
+        let mode = behaviour
+            .differing_server
+            .lock()
+            .unwrap()
+            .filter(|(differing, _)| *differing == number)
+            .map(|(_, mode)| mode);
         if let Some(ServerMode::Slow(ms)) = mode {
             std::thread::sleep(Duration::from_millis(ms));
         }
-        behaviour.at_once.fetch_sub(1, Ordering::SeqCst);
-        if take(&behaviour.overdue_answers) {
+        behaviour.concurrent_runs.fetch_sub(1, Ordering::SeqCst);
+        if take_one(&behaviour.timeout_responses) {
             return reply(stream, 504, &[("request-id", &id), ("response-stamp", "s")], "");
         }
         let is_large = request.path.ends_with("large");
@@ -150,50 +158,50 @@
             true => "x".repeat(behaviour.large_bytes.load(Ordering::SeqCst)),
             false => String::from_utf8(request.body).unwrap(),
         };
-        let is_reset = take(&behaviour.reset_answers);
-        if is_reset || take(&behaviour.unframed_answers) {
-            return end_with_connection(stream, &id, &body, is_reset);
+        let is_reset = take_one(&behaviour.reset_responses);
+        if is_reset || take_one(&behaviour.unframed_responses) {
+            return reply_unframed(stream, &id, &body, is_reset);
         }
-        if take(&behaviour.short_answers) {
+        if take_one(&behaviour.truncated_responses) {
             let text =
                 format!("HTTP/1.1 200 X\r\ncontent-length: 99\r\nrequest-id: {id}\r\nresponse-stamp: s\r\n\r\nhalf");
-            // The caller may have left, which ends the connection as well.
+            // A write fails if the caller has already closed the connection.
             let _ = stream.write_all(text.as_bytes());
             return false;
         }
-        // After the others, so that an answer is spoilt in one way.
-        let echoed = if take(&behaviour.foreign_answers) { "another" } else { &id };
+        // Checked after the other faults, so that a response has only one.
+        let echoed = if take_one(&behaviour.misattributed_responses) { "another" } else { &id };
         let stamp = format!("signed-{id}");
         let mut headers = vec![("request-id", echoed), ("response-stamp", &stamp)];
-        if behaviour.states_slowness.load(Ordering::SeqCst) {
-            headers.push(("server-load", STATED_LOAD));
+        if behaviour.reports_load.load(Ordering::SeqCst) {
+            headers.push(("server-load", REPORTED_LOAD));
         }
         let status = if mode == Some(ServerMode::Failing) { 500 } else { 200 };
         reply(stream, status, &headers, &body)
     })
 }
 
-/// Answers without a length; a reset leaves the answer half.
-fn end_with_connection(stream: &mut TcpStream, id: &str, body: &str, is_reset: bool) -> bool {
+/// Responds without a length; with `is_reset`, sends half of the body and resets the connection.
+fn reply_unframed(stream: &mut TcpStream, id: &str, body: &str, is_reset: bool) -> bool {
     let sent = if is_reset { &body[..body.len() / 2] } else { body };
     let text =
         format!("HTTP/1.1 200 X\r\nconnection: close\r\nrequest-id: {id}\r\nresponse-stamp: signed-{id}\r\n\r\n{sent}");
-    // The caller may have left, which ends the connection as well.
+    // A write fails if the caller has already closed the connection.
     let _ = stream.write_all(text.as_bytes());
     if is_reset {
         std::thread::sleep(Duration::from_millis(50));
-        // Closing the connection, which follows, then resets it.
+        // With this option, the close that follows resets the connection.
         let _ = socket2::SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
     }
     false
 }
 
-/// A model engine, which starts with version 1 and takes over any other at once.
+/// A model engine, which starts with version 1 and loads other versions immediately.
 struct ModelEngine {
     behaviour: Arc<ServerBehaviour>,
     store: StandinStore,
     name: String,
-    /// Address at which it registers: its own, or that of a proxy before it.
+    /// Address that it registers: its own, or that of a proxy in front of it.
     address: Mutex<String>,
     version: AtomicU64,
     orders: AtomicU64,
@@ -202,11 +210,11 @@
 impl ModelEngine {
     fn answer(&self, request: &Received, stream: &mut TcpStream) -> bool {
         match &*request.path {
-            "/trestlerack/report" if self.name == "i-engine-0" && take(&self.behaviour.silent_reports) => {
+            "/trestlerack/report" if self.name == "i-engine-0" && take_one(&self.behaviour.unanswered_reports) => {
                 stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
-                // Ends with the connection, which the caller closes.
+                // Returns when the caller closes the connection.
                 let _ = stream.peek(&mut [0]);
-                self.behaviour.reports_given_up.lock().unwrap().push(Instant::now());
+                self.behaviour.abandoned_reports.lock().unwrap().push(Instant::now());
                 false
             }
             "/trestlerack/report" => {
@@ -242,7 +250,7 @@
         self.orders.fetch_add(1, Ordering::SeqCst);
         self.version.store(version, Ordering::SeqCst);
         self.register();
-        !take(&self.behaviour.lost_orders) && reply(stream, 202, &[], "")
+        !take_one(&self.behaviour.unanswered_orders) && reply(stream, 202, &[], "")
     }
 
     fn register(&self) {
@@ -250,18 +258,18 @@
         register(&self.store, &self.name, "models", &self.address.lock().unwrap(), models);
     }
 
-    /// Sends the events after the one that the request names. The data of each tells the item, the
-    /// event and the version that made it.
+    /// Streams the events after the last event id of the request. The data of each event names the request, the
+    /// event number and the version that generated it.
     fn generate(&self, request: &Received, stream: &mut TcpStream) -> bool {
         let id = request.headers["request-id"].clone();
-        if take(&self.behaviour.refusals) {
+        if take_one(&self.behaviour.rejections) {
             return reply(stream, 503, &[("request-id", &id), ("not-executed", "1")], "");
         }
         let first = request.headers.get("last-event-id").map_or(1, |last| last.parse::<u64>().unwrap() + 1);
         self.behaviour.runs.lock().unwrap().push(format!("{id}@{first}"));
         self.behaviour.headers.lock().unwrap().insert(id.clone(), request.headers.clone());
         self.behaviour.last_runs.lock().unwrap().insert(id.clone(), Instant::now());
-        if take(&self.behaviour.overdue_answers) {
+        if take_one(&self.behaviour.timeout_responses) {
             return reply(stream, 504, &[("request-id", &id), ("response-stamp", "s")], "");
         }
         let mut version = self.version.load(Ordering::SeqCst);
@@ -273,19 +281,19 @@
         if !write(head) {
             return false;
         }
-        let is_broken = take(&self.behaviour.broken_streams);
-        for number in first..=EVENTS {
+        let is_broken = take_one(&self.behaviour.broken_streams);
+        for number in first..=EVENTS_PER_STREAM {
             if is_broken && number == 3 {
                 write("1c\r\nid: 3\ndata: ".into());
                 return false;
             }
-            std::thread::sleep(Duration::from_millis(self.behaviour.pace_ms.load(Ordering::SeqCst) as u64));
-            let held = self.version.load(Ordering::SeqCst);
-            let change = if held == version { String::new() } else { format!("weight-versions: {held}\n") };
-            version = held;
-            let filling = " ".repeat(self.behaviour.event_bytes.load(Ordering::SeqCst));
+            std::thread::sleep(Duration::from_millis(self.behaviour.event_interval_ms.load(Ordering::SeqCst) as u64));
+            let loaded = self.version.load(Ordering::SeqCst);
+            let change = if loaded == version { String::new() } else { format!("weight-versions: {loaded}\n") };
+            version = loaded;
+            let padding = " ".repeat(self.behaviour.event_padding.load(Ordering::SeqCst));
             let data = event_data(&id, number, version);
-            let event = format!("{change}id: {number}\ndata: {data}{filling}\n\n");
+            let event = format!("{change}id: {number}\ndata: {data}{padding}\n\n");
             if !write(format!("{:x}\r\n{event}\r\n", event.len())) {
                 return false;
             }
@@ -298,9 +306,9 @@
     format!("{id}-{number}-v{version}")
 }
 
-/// Returns the data of all events of an item that one version made.
-pub fn whole_text(id: &str, version: u64) -> Vec<String> {
-    (1..=EVENTS).map(|number| event_data(id, number, version)).collect()
+/// Returns the data of all events of an item that one version generated.
+pub fn complete_text(id: &str, version: u64) -> Vec<String> {
+    (1..=EVENTS_PER_STREAM).map(|number| event_data(id, number, version)).collect()
 }
 
 pub(super) fn register(store: &StandinStore, instance: &str, service: &str, address: &str, models: Value) {
@@ -312,7 +320,7 @@
     );
 }
 
-/// The store and the servers that the configuration names.
+/// The store, and the servers of its configuration.
 pub struct Platform {
     pub store: StandinStore,
     pub plain: Arc<ServerBehaviour>,
@@ -321,16 +329,16 @@
 
 impl Platform {
     pub fn start() -> Self {
-        Self::start_behind(2, |address| address.to_string())
+        Self::start_behind_proxies(2, |address| address.to_string())
     }
 
-    /// Starts `count` servers of each kind, registered at the address that `relay` gives for theirs.
-    pub fn start_behind(count: usize, relay: impl FnMut(SocketAddr) -> String) -> Self {
+    /// Starts `count` servers of each kind, registered at the addresses that `relay` returns for theirs.
+    pub fn start_behind_proxies(count: usize, relay: impl FnMut(SocketAddr) -> String) -> Self {
         Self::start_relayed(count, count, relay)
     }
 
-    /// Starts so many plain servers and model engines.
-    pub fn start_counts(plain: usize, engines: usize) -> Self {
+    /// Starts the given numbers of plain servers and model engines.
+    pub fn start_with_counts(plain: usize, engines: usize) -> Self {
         Self::start_relayed(plain, engines, |address| address.to_string())
     }
 
@@ -362,7 +370,7 @@
         Self { store, plain, engine }
     }
 
-    /// Puts a configuration in force, as the operator does; `tenants` as on the wire.
+    /// Writes a configuration with the given `tenants`, in wire format, as the operator does.
     pub fn configure(&self, version: u64, tenants: Value) {
         let mut config = configuration();
         config["version"] = json!(version);
@@ -372,7 +380,7 @@
         self.store.put("op", "config", &config);
     }
 
-    /// Puts the configuration of the start in force with a change to it.
+    /// Writes the initial configuration with a change.
     pub fn reconfigure(&self, version: u64, change: impl FnOnce(&mut Value)) {
         let mut config = configuration();
         config["version"] = json!(version);
@@ -380,7 +388,8 @@
         self.store.put("op", "config", &config);
     }
 
-    /// Lets engines of the model service be ordered; `autoscale` as on the wire.
+    /// Writes a configuration with the given `autoscale`, in wire format, which lets engines of the model service
+    /// be ordered.
     pub fn configure_scaling(&self, version: u64, autoscale: Value) {
         let mut config = configuration();
         config["version"] = json!(version);
@@ -399,7 +408,7 @@
         self.store.put("op", "config", &config);
     }
 
-    /// Names a version of the weights, as a trainer does.
+    /// Publishes a version of the weights, as a trainer does.
     pub fn publish_version(&self, version: u64) {
         self.store.put("op", "version/m", &json!({ "model": "m", "version": version }));
     }
@@ -429,12 +438,12 @@
                 "target_latency_ms": 400, "service": "models", "max_attempts": 3, "max_wait_s": 60.0 }] })
 }
 
-/// Body of a job whose groups have two items each, and whose items bear the job's name.
+/// Returns the body of a job with groups of two items, whose ids begin with the id of the job.
 pub fn job_body_of(job: &str, items: usize, min_version: u64) -> String {
     job_body_with(job, items, min_version, b"body")
 }
 
-/// The same with another body of each item.
+/// Like [`job_body_of`], with the given body for each item.
 pub fn job_body_with(job: &str, items: usize, min_version: u64, body: &[u8]) -> String {
     let item = |number: usize| {
         let id = format!("{job}-item-{number}");
@@ -446,17 +455,17 @@
     json!({ "step": 0, "model": "m", "min_version": min_version, "target_groups": 1, "requests": items }).to_string()
 }
 
-/// Submits a job and returns the status of the answer, or 0 without one.
+/// Submits a job and returns the status of the response, or 0 without one.
 pub fn submit(daemon: &EntryDaemon, job: &str, items: usize) -> u16 {
     let path = format!("/jobs/{job}");
     call(&daemon.client, "POST", &path, &[("request-id", job)], &job_body_of(job, items, 1))
         .map_or(0, |answer| answer.status)
 }
 
-/// Reads a job's results until all are there.
-pub fn read_all(daemon: &EntryDaemon, job: &str, total: usize) -> Vec<Value> {
+/// Reads the results of a job until all are available.
+pub fn read_results(daemon: &EntryDaemon, job: &str, total: usize) -> Vec<Value> {
     let mut results: Vec<Value> = Vec::new();
-    eventually("the job is whole", || {
+    eventually("the job is complete", || {
         let path = format!("/trestlerack/lots/{job}?after={}", results.len());
         let Some(answer) = call(&daemon.client, "GET", &path, &[("wait-ms", "500")], "") else { return false };
         if answer.status != 200 {
@@ -471,23 +480,23 @@
     results
 }
 
-/// Reads a stream whose body is chunked; returns the data of its events and whether it ended as a
-/// whole one does, or `None` if nothing came.
+/// Reads a chunked stream. Returns the data of its events and whether it is complete, or `None` without a
+/// connection.
 pub fn read_stream_from(client: &str, path: &str, id: &str) -> Option<(String, bool)> {
-    read_stream_of(client, path, id, "prompt")
+    read_stream_with_body(client, path, id, "prompt")
 }
 
-/// The same for a request with a body.
-pub fn read_stream_of(client: &str, path: &str, id: &str, body: &str) -> Option<(String, bool)> {
+/// Like [`read_stream_from`], with the given request body.
+pub fn read_stream_with_body(client: &str, path: &str, id: &str, body: &str) -> Option<(String, bool)> {
     let mut stream = TcpStream::connect(client).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
     let headers = [("request-id", id), ("model", "m"), ("connection", "close")];
     send(&mut stream, "POST", path, &headers, body)?;
     let mut bytes = Vec::new();
-    // A reply that breaks off may end with a reset, after the bytes before it.
+    // A truncated reply may end with a reset; the bytes before it still count.
     let _ = stream.read_to_end(&mut bytes);
     let text = String::from_utf8(bytes).ok()?;
-    let is_whole = text.starts_with("HTTP/1.1 200") && text.ends_with("0\r\n\r\n");
+    let is_complete = text.starts_with("HTTP/1.1 200") && text.ends_with("0\r\n\r\n");
     let events: Vec<&str> = text.lines().filter_map(|line| line.strip_prefix("data: ")).collect();
-    Some((events.join(","), is_whole))
+    Some((events.join(","), is_complete))
 }
--- a/crates/trestlerackd/tests/entry/support/store.rs
+++ b/crates/trestlerackd/tests/entry/support/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store.
+//! Stand-in of the platform's store.
 
 use super::server::{Received, reply, reply_bytes, serve};
 use base64::Engine as _;
@@ -17,7 +17,7 @@
     None,
     Commits,
     All,
-    /// Transactions are refused for their rate, while everything else is served.
+    /// Rejects transactions for their rate; other calls are served.
     CommitRate,
 }
 
@@ -27,29 +27,29 @@
     rows: BTreeMap<RowKey, (String, u64)>,
     changes: Vec<(u64, RowKey, Option<String>)>,
     objects: BTreeMap<String, Vec<u8>>,
-    /// Which writes are refused.
+    /// Which writes are rejected.
     refuse_writes: Refusal,
-    /// Writes that are applied and whose reply is then lost.
+    /// Number of the next transactions that are applied without a reply.
     lose_replies: usize,
-    /// Whether every call is refused.
+    /// Whether every call is rejected.
     is_down: bool,
-    /// Watches of this table bring no news meanwhile; reads and writes do.
+    /// Table whose watches return no changes; its reads and writes work.
     silent_table: Option<&'static str>,
-    /// Watches that ask for changes before this version are told that those are gone.
+    /// Version before which changes are no longer available to watches.
     oldest_change: u64,
-    /// Reads of partitions, by name.
+    /// Number of reads by partition.
     reads: BTreeMap<String, usize>,
-    /// Transactions that came, refused ones included.
+    /// Number of received transactions, including rejected ones.
     commits: usize,
-    /// Transactions whose conditions did not hold, by partition.
+    /// Number of transactions whose conditions did not hold, by partition.
     conflicts: BTreeMap<String, usize>,
-    /// Time that every call waits first, in milliseconds.
+    /// Delay of every call, in milliseconds.
     slow_ms: u64,
-    /// Time that reads of this table wait first, in milliseconds.
+    /// Table whose reads are delayed, and the delay in milliseconds.
     slow_table: Option<(&'static str, u64)>,
 }
 
-/// The store of the platform.
+/// Store that serves the platform's store interface from memory.
 #[derive(Clone)]
 pub struct StandinStore {
     state: Arc<(Mutex<StoreState>, Condvar)>,
@@ -72,7 +72,7 @@
         Self { state, address }
     }
 
-    /// Writes a row as the operator, a trainer or a server does.
+    /// Writes a row, as the operator, a trainer or a server does.
     pub fn put(&self, table: &str, key: &str, value: &Value) {
         let mut state = self.state.0.lock().unwrap();
         state.version += 1;
@@ -81,7 +81,7 @@
         self.state.1.notify_all();
     }
 
-    /// Removes a row as the platform does.
+    /// Removes a row, as the platform does.
     pub fn remove(&self, table: &str, key: &str) {
         let mut state = self.state.0.lock().unwrap();
         state.version += 1;
@@ -89,7 +89,7 @@
         self.state.1.notify_all();
     }
 
-    /// Gives the rows of a table other keys, while nobody watches it.
+    /// Changes the keys of a table's rows without reporting that to watches.
     pub fn rename_rows(&self, table: &str, rename: impl Fn(&str) -> String) {
         let mut state = self.state.0.lock().unwrap();
         let rows = std::mem::take(&mut state.rows);
@@ -100,8 +100,8 @@
         state.rows = renamed.collect();
     }
 
-    /// Returns how many objects there are.
-    pub fn objects(&self) -> usize {
+    /// Returns the number of objects.
+    pub fn object_count(&self) -> usize {
         self.state.0.lock().unwrap().objects.len()
     }
 
@@ -109,28 +109,28 @@
         self.state.0.lock().unwrap().refuse_writes = if refuse { Refusal::All } else { Refusal::None };
     }
 
-    /// Refuses transactions, while objects can be written.
+    /// Rejects transactions while objects can still be written.
     pub fn refuse_commits(&self, refuse: bool) {
         self.state.0.lock().unwrap().refuse_writes = if refuse { Refusal::Commits } else { Refusal::None };
     }
 
-    /// Refuses transactions for their rate.
+    /// Rejects transactions for their rate.
     pub fn refuse_commit_rate(&self, refuse: bool) {
         self.state.0.lock().unwrap().refuse_writes = if refuse { Refusal::CommitRate } else { Refusal::None };
     }
 
-    /// Refuses every call, as a store that is down.
-    pub fn go_down(&self, is_down: bool) {
+    /// Rejects every call, like a store that is unavailable.
+    pub fn set_unavailable(&self, is_down: bool) {
         self.state.0.lock().unwrap().is_down = is_down;
         self.state.1.notify_all();
     }
 
-    /// Returns how many transactions of a partition had conditions that did not hold.
+    /// Returns the number of transactions of a partition whose conditions did not hold.
     pub fn conflicts(&self, partition: &str) -> usize {
         self.state.0.lock().unwrap().conflicts.get(partition).copied().unwrap_or(0)
     }
 
-    /// Returns how many transactions came, refused ones included.
+    /// Returns the number of received transactions, including rejected ones.
     pub fn commits(&self) -> usize {
         self.state.0.lock().unwrap().commits
     }
@@ -144,28 +144,28 @@
         self.state.1.notify_all();
     }
 
-    /// Forgets which rows changed before now.
+    /// Discards the history of changes up to now.
     pub fn drop_history(&self) {
         let mut state = self.state.0.lock().unwrap();
         state.oldest_change = state.version;
         self.state.1.notify_all();
     }
 
-    pub fn slow_down(&self, slow_ms: u64) {
+    pub fn set_delay(&self, slow_ms: u64) {
         self.state.0.lock().unwrap().slow_ms = slow_ms;
     }
 
-    pub fn slow_down_reads(&self, table: &'static str, slow_ms: u64) {
+    pub fn set_read_delay(&self, table: &'static str, slow_ms: u64) {
         self.state.0.lock().unwrap().slow_table = Some((table, slow_ms));
     }
 
-    /// Returns how often a partition was read.
+    /// Returns the number of reads of a partition.
     pub fn reads(&self, partition: &str) -> usize {
         self.state.0.lock().unwrap().reads.get(partition).copied().unwrap_or(0)
     }
 
-    /// Returns whether any row of the system's own tables, or any object, holds a text.
-    pub fn holds(&self, text: &str) -> bool {
+    /// Returns whether any row of the entry service's tables, or any object, contains a text.
+    pub fn contains_text(&self, text: &str) -> bool {
         let state = self.state.0.lock().unwrap();
         let is_in = |content: &[u8]| content.windows(text.len()).any(|part| part == text.as_bytes());
         let mut own = state.rows.iter().filter(|((table, ..), _)| table != "op" && table != "servers");
@@ -173,7 +173,7 @@
             || state.objects.values().any(|content| is_in(content))
     }
 
-    pub fn count(&self, table: &str, partition: &str) -> usize {
+    pub fn row_count(&self, table: &str, partition: &str) -> usize {
         let state = self.state.0.lock().unwrap();
         state.rows.keys().filter(|(t, p, _)| t == table && p == partition).count()
     }
@@ -201,8 +201,9 @@
     };
     let slow_ms = {
         let state = shared.0.lock().unwrap();
-        let of_table = state.slow_table.filter(|(table, _)| path.ends_with("rows-get") && *table == parameter("table"));
-        state.slow_ms + of_table.map_or(0, |(_, slow_ms)| slow_ms)
+        let table_delay =
+            state.slow_table.filter(|(table, _)| path.ends_with("rows-get") && *table == parameter("table"));
+        state.slow_ms + table_delay.map_or(0, |(_, slow_ms)| slow_ms)
     };
     std::thread::sleep(Duration::from_millis(slow_ms));
     let now_ms = started.elapsed().as_millis() as u64;
@@ -229,11 +230,11 @@
         "rows-get" => {
             let (table, part, from) = (parameter("table"), parameter("part"), parameter("from"));
             *state.reads.entry(part.clone()).or_default() += 1;
-            let is_asked = |key: &RowKey| key.0 == table && key.1 == part && key.2 >= from;
+            let is_requested = |key: &RowKey| key.0 == table && key.1 == part && key.2 >= from;
             let rows: Vec<Value> = state
                 .rows
                 .iter()
-                .filter(|(key, _)| is_asked(key))
+                .filter(|(key, _)| is_requested(key))
                 .map(|(key, (value, version))| row(key, value, *version))
                 .collect();
             (200, json!({ "rows": rows, "more_pages": false, "ver": state.version, "now_ms": now_ms }))
@@ -247,11 +248,11 @@
         "rows-feed" => {
             let (table, after) = (parameter("table"), parameter("after").parse::<u64>().unwrap());
             let wait = Duration::from_millis(parameter("wait_ms").parse().unwrap());
-            let has_news = |state: &StoreState| {
+            let has_changes = |state: &StoreState| {
                 state.silent_table != Some(&table)
                     && state.changes.iter().any(|(v, key, _)| *v > after && key.0 == table)
             };
-            let may_wait = |state: &mut StoreState| !has_news(state) && !state.is_down;
+            let may_wait = |state: &mut StoreState| !has_changes(state) && !state.is_down;
             let (state, _) = shared.1.wait_timeout_while(state, wait, may_wait).unwrap();
             if state.is_down {
                 return (503, json!({}));
@@ -262,8 +263,8 @@
             if state.silent_table == Some(&table) {
                 return (200, json!({ "rows": [], "ver": after, "now_ms": now_ms }));
             }
-            let news = state.changes.iter().filter(|(version, key, _)| *version > after && key.0 == table);
-            let rows: Vec<Value> = news
+            let changes = state.changes.iter().filter(|(version, key, _)| *version > after && key.0 == table);
+            let rows: Vec<Value> = changes
                 .map(|(version, key, value)| match value {
                     Some(value) => row(key, value, *version),
                     None => json!({ "table": key.0, "part": key.1, "key": key.2, "ver": version, "deleted": true }),
--- a/crates/trestlerackd/tests/entry/uneven.rs
+++ b/crates/trestlerackd/tests/entry/uneven.rs
@@ -10,8 +10,8 @@
 
 /// A platform of four plain servers that state their load.
 fn stating_platform() -> Platform {
-    let platform = Platform::start_counts(4, 1);
-    platform.plain.states_slowness.store(true, Ordering::SeqCst);
+    let platform = Platform::start_with_counts(4, 1);
+    platform.plain.reports_load.store(true, Ordering::SeqCst);
     platform.plain.work_ms.store(WORK_MS, Ordering::SeqCst);
     platform
 }
@@ -42,7 +42,7 @@
 
 /// Returns how many requests each server ran since this was asked last.
 fn take_runs(platform: &Platform) -> Vec<usize> {
-    let runs = std::mem::take(&mut *platform.plain.runs_at.lock().unwrap());
+    let runs = std::mem::take(&mut *platform.plain.runs_by_server.lock().unwrap());
     (0..4).map(|server| runs.get(&server).copied().unwrap_or(0)).collect()
 }
 
@@ -50,7 +50,7 @@
 fn change_busiest(platform: &Platform, mode: ServerMode) -> usize {
     let runs = take_runs(platform);
     let busiest = (0..4).max_by_key(|server| runs[*server]).unwrap();
-    *platform.plain.uneven.lock().unwrap() = Some((busiest, mode));
+    *platform.plain.differing_server.lock().unwrap() = Some((busiest, mode));
     busiest
 }
 
@@ -75,7 +75,7 @@
     let page = call(&metrics, "GET", "/metrics", &[], "").unwrap().body;
     let gauge = format!("trestlerack_entry_server_aside{{server=\"i-plain-{slow}\",service=\"plain\"}} 1");
     assert!(page.contains(&gauge), "{page}");
-    *platform.plain.uneven.lock().unwrap() = None;
+    *platform.plain.differing_server.lock().unwrap() = None;
     let limit = Instant::now() + Duration::from_secs(20);
     while server_line(&metrics, slow)["standing"] != "well" {
         assert!(Instant::now() < limit, "{}", server_line(&metrics, slow));
@@ -140,7 +140,7 @@
 #[test]
 fn without_stated_slowness_no_second_server_is_asked_early() {
     let platform = stating_platform();
-    platform.plain.states_slowness.store(false, Ordering::SeqCst);
+    platform.plain.reports_load.store(false, Ordering::SeqCst);
     let (daemon, metrics) = start_daemon("a", &platform, &[]);
     make_calls(&daemon, "warm", 20);
     change_busiest(&platform, ServerMode::Slow(250));
@@ -154,10 +154,10 @@
     let platform = stating_platform();
     let (daemon, _) = start_daemon("a", &platform, &[]);
     make_calls(&daemon, "warm", 20);
-    platform.plain.silent_answers.store(1, Ordering::SeqCst);
+    platform.plain.unanswered_requests.store(1, Ordering::SeqCst);
     let longest = make_calls(&daemon, "silent", 1);
     assert!(longest < Duration::from_millis(400), "{longest:?}");
-    eventually("the silent server is left", || platform.plain.left.load(Ordering::SeqCst) == 1);
+    eventually("the silent server is left", || platform.plain.abandoned_requests.load(Ordering::SeqCst) == 1);
     let runs = platform.plain.runs.lock().unwrap();
     assert_eq!(runs.iter().filter(|id| *id == "silent-0").count(), 2);
 }
