--- a/crates/trestlerack/tests/followers.rs
+++ b/crates/trestlerack/tests/followers.rs
@@ -112,7 +112,7 @@
         let counts = ServerCounts::of(servers.iter());
         for number in 0..20 {
             let own = node(number);
-            let used = servers.iter().filter(|entry| counts.is_in_part(&own.name, &own.zone, entry));
+            let used = servers.iter().filter(|entry| counts.is_in_subset(&own.name, &own.zone, entry));
             let mut by_service: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
             for entry in used {
                 let (same_zone, other_zones) = by_service.entry(&entry.service).or_default();
@@ -136,14 +136,14 @@
 fn server_subsets_are_redrawn_only_after_large_changes_of_the_server_counts() {
     let mut counts = ServerCounts::default();
     let of = |count: usize| ServerCounts::of((0..count).map(server).collect::<Vec<_>>().iter());
-    assert!(counts.redraw(of(10_000)));
-    assert!(!counts.redraw(of(9_000)) && !counts.redraw(of(12_000)));
-    assert!(counts.redraw(of(25_000)));
+    assert!(counts.replace_if_changed(of(10_000)));
+    assert!(!counts.replace_if_changed(of(9_000)) && !counts.replace_if_changed(of(12_000)));
+    assert!(counts.replace_if_changed(of(25_000)));
     // The servers of a fleet register one after the other when it starts, here up to 20,000.
     let mut draws = 0;
     let mut counts = ServerCounts::default();
     for count in (0..20_000).step_by(50) {
-        draws += usize::from(counts.redraw(of(count)));
+        draws += usize::from(counts.replace_if_changed(of(count)));
     }
     assert!(draws <= 16, "{draws} draws");
 }
--- a/crates/trestlerackd/src/entry/node.rs
+++ b/crates/trestlerackd/src/entry/node.rs
@@ -25,7 +25,8 @@
 use tokio::sync::{Notify, watch};
 use trestlerack::interfaces::Clock;
 use trestlerack::process::{
-    AnswerTimes, BoardSettings, EntrySettings, JobEndFreshness, NodeRow, RegistrySettings, ServerBoard, ServerRegistry,
+    BalancerSettings, EntrySettings, JobEndFreshness, LatencyEstimates, LoadBalancer, NodeRow, RegistrySettings,
+    ServerRegistry,
 };
 use trestlerack::request::JobRecord;
 use trestlerack::version::{RoutingTable, WeightVersion};
@@ -90,9 +91,9 @@
     /// Registered backend servers.
     pub registry: Mutex<ServerRegistry>,
     /// Chooses among backend servers by their health and load.
-    pub board: Mutex<ServerBoard>,
+    pub balancer: Mutex<LoadBalancer>,
     /// Response latencies by route.
-    pub route_latencies: Mutex<AnswerTimes>,
+    pub route_latencies: Mutex<LatencyEstimates>,
     /// Notified when there may be server observations to send to peers.
     pub new_observations: Notify,
     /// Admission control of calls to services, with the queue of waiting calls.
@@ -164,7 +165,7 @@
             routing: RwLock::new(None),
             key_refresh: KeyRefresh::default(),
             registry: Mutex::new(ServerRegistry::new(RegistrySettings::default())),
-            board: Mutex::new(ServerBoard::new(BoardSettings::default())),
+            balancer: Mutex::new(LoadBalancer::new(BalancerSettings::default())),
             route_latencies: Mutex::default(),
             new_observations: Notify::new(),
             admission: RoomDesk::new(),
--- a/crates/trestlerackd/src/entry/store.rs
+++ b/crates/trestlerackd/src/entry/store.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 use trestlerack::interfaces::{Clock, StoreError};
-use trestlerack::process::{DirectWay, WayChange, rate_limit_backoff};
+use trestlerack::process::{AccessChange, DirectAccess, rate_limit_backoff};
 use trestlerack::rows::{RowStore, StoreCall, StoreMoment, StoreReply};
 use trestlerack::{Name, event, time::millis};
 use trestlerack_platform as platform;
@@ -103,7 +103,7 @@
     direct: Arc<DirectStore>,
     peers: Arc<PeerClient>,
     /// Whether direct calls come first; if not, peers are asked first until a probe succeeds.
-    direct_access: Mutex<DirectWay>,
+    direct_access: Mutex<DirectAccess>,
     monotonic_clock: SystemClock,
     /// Notified when direct access is lost.
     access_lost: Notify,
@@ -146,8 +146,8 @@
     }
 
     /// Returns whether peers are asked first because the store does not serve this node.
-    pub fn is_doubtful(&self) -> bool {
-        self.direct_access.lock().unwrap().is_doubtful()
+    pub fn prefers_peers(&self) -> bool {
+        self.direct_access.lock().unwrap().prefers_peers()
     }
 
     /// Returns the estimated time on the store's clock, in milliseconds, or 0 before the first reply.
@@ -163,10 +163,10 @@
         let reply = self.direct.call_within(call, time_limit(call, limit)).await;
         let now = self.monotonic_clock.now();
         let failure = reply.as_ref().err().copied();
-        let change = self.direct_access.lock().unwrap().note(sent_at, now, failure);
+        let change = self.direct_access.lock().unwrap().record_result(sent_at, now, failure);
         match (change, failure) {
-            (Some(WayChange::Regained), _) => logs::write(event::STORE_REGAINED, &[]),
-            (Some(WayChange::Lost), Some(error)) => {
+            (Some(AccessChange::Regained), _) => logs::write(event::STORE_REGAINED, &[]),
+            (Some(AccessChange::Lost), Some(error)) => {
                 let (kind, target) = describe(call);
                 let ms = now.since(sent_at).as_millis();
                 let fields: [(&str, &dyn std::fmt::Display); 4] =
@@ -189,12 +189,12 @@
             limit: 1,
         };
         loop {
-            if !self.is_doubtful() {
+            if !self.prefers_peers() {
                 // A notification just before this is missed; the check then follows the timeout.
                 let _ = clock::timeout(ACCESS_CHECK_INTERVAL, self.access_lost.notified()).await;
             }
             clock::sleep(PROBE_INTERVAL).await;
-            if self.is_doubtful() {
+            if self.prefers_peers() {
                 // `call_direct` records the outcome.
                 let _ = self.call_direct(&call, DIRECT_TIMEOUT).await;
             }
@@ -242,7 +242,7 @@
 impl RowStore for RelayedStore {
     async fn call(&self, call: &StoreCall) -> Result<StoreReply, StoreError> {
         let has_peers = self.peers.has_any();
-        let reply = if has_peers && self.is_doubtful() {
+        let reply = if has_peers && self.prefers_peers() {
             match self.call_relayed(call).await {
                 Ok(reply) => Ok(reply),
                 Err(StoreError::RateLimited) => Err(StoreError::RateLimited),
@@ -258,7 +258,7 @@
             match self.call_direct(call, limit).await {
                 Ok(reply) => Ok(reply),
                 // A rate limit also applies to peers, unless the store rejects every call of this node.
-                Err(StoreError::RateLimited) if !self.is_doubtful() => Err(StoreError::RateLimited),
+                Err(StoreError::RateLimited) if !self.prefers_peers() => Err(StoreError::RateLimited),
                 Err(direct) if has_peers => combine_results(self.call_relayed(call).await, direct),
                 Err(direct) => Err(direct),
             }
--- a/crates/trestlerackd/src/entry/weight_orders.rs
+++ b/crates/trestlerackd/src/entry/weight_orders.rs
@@ -13,8 +13,8 @@
 use trestlerack::rows::{RowStore, RowTransaction, StoreCall};
 use trestlerack::time::millis;
 use trestlerack::version::{
-    DueOrder, EngineAssignment, LIST_LAG, OrderOutcome, RequestRoute, RoutedService, RoutingTable, WeightPlan,
-    WeightPlanSettings, engines_needed,
+    DueOrder, EngineAssignment, MAX_HEARTBEAT_LAG, OrderOutcome, RequestRoute, RoutedService, RoutingTable,
+    WeightScheduler, WeightSchedulerSettings, engines_needed,
 };
 use trestlerack::{Name, Timestamp, event};
 use trestlerack_platform::EngineReport;
@@ -28,7 +28,7 @@
 
 /// Schedules weight loads of one service.
 pub struct ServiceScheduler {
-    scheduler: WeightPlan,
+    scheduler: WeightScheduler,
     synced_at: Option<Timestamp>,
     /// Change counter of the registry at the last update.
     changes: u64,
@@ -100,7 +100,7 @@
         let options = OrderOptions { fence, load_time: scheduler.load_time(), waits_for_runs };
         for order in orders {
             let Some(engine) = node.registry.lock().unwrap().get(&order.instance).cloned() else {
-                scheduler.unreachable(node.now(), &order.instance);
+                scheduler.record_unreachable(node.now(), &order.instance);
                 continue;
             };
             match order.orders_before {
@@ -131,7 +131,7 @@
 
 impl ServiceScheduler {
     fn new(settings: &EntrySettings) -> Self {
-        Self { scheduler: WeightPlan::new(scheduler_settings(settings)), synced_at: None, changes: 0 }
+        Self { scheduler: WeightScheduler::new(scheduler_settings(settings)), synced_at: None, changes: 0 }
     }
 }
 
@@ -154,8 +154,8 @@
     let scheduler = &mut service_scheduler.scheduler;
     let versions = node.weights.newest_versions();
     for (model, version) in versions.iter().filter(|(model, _)| service.models.contains(model)) {
-        scheduler.target(model, *version);
-        scheduler.allow_lag(model, node.accepted_lag(model));
+        scheduler.raise_target(model, *version);
+        scheduler.set_accepted_lag(model, node.accepted_lag(model));
     }
     let now = node.now();
     let assigned = {
@@ -169,7 +169,7 @@
             registry.of_service(&service.name).filter(|entry| !entry.is_draining).collect();
         let slots = engines.iter().map(|entry| entry.slots).min().unwrap_or(0);
         for model in &service.models {
-            scheduler.need(model, engines_needed(node.open_items(model), slots));
+            scheduler.set_needed_engines(model, engines_needed(node.open_items(model), slots));
         }
         scheduler.sync(now, &service.models, &engines, &node.weights.assignments())
     };
@@ -229,11 +229,11 @@
     }
 }
 
-fn record_report(now: Timestamp, scheduler: &mut WeightPlan, order: &DueOrder, report: Option<EngineReport>) {
-    let Some(report) = report else { return scheduler.unreachable(now, &order.instance) };
+fn record_report(now: Timestamp, scheduler: &mut WeightScheduler, order: &DueOrder, report: Option<EngineReport>) {
+    let Some(report) = report else { return scheduler.record_unreachable(now, &order.instance) };
     let loaded = report.models.iter().find(|(model, _)| *model == order.model);
     let version = loaded.map_or(0, |(_, version)| *version);
-    scheduler.reported(now, &order.instance, version, report.is_loading, report.orders);
+    scheduler.record_report(now, &order.instance, version, report.is_loading, report.orders);
 }
 
 fn record_order(
@@ -243,20 +243,20 @@
     outcome: OrderOutcome,
 ) {
     if let Some(service_scheduler) = schedulers.get_mut(&planned.service) {
-        service_scheduler.scheduler.ordered(node.now(), &planned.order, outcome, planned.orders_before);
+        service_scheduler.scheduler.record_outcome(node.now(), &planned.order, outcome, planned.orders_before);
         node.metrics.order(outcome);
     }
 }
 
-fn due_orders(node: &EntryNode, scheduler: &mut WeightPlan) -> Vec<DueOrder> {
+fn due_orders(node: &EntryNode, scheduler: &mut WeightScheduler) -> Vec<DueOrder> {
     let clock_ms = node.store.clock_ms();
     let handover = node.live_settings().order_handover + ORDER_TIMEOUT;
     let may_be_ordered = |instance: &str| {
         let assignment = node.weights.assignment(instance);
-        assignment.is_none_or(|assignment| assignment.is_open_to(&node.settings.name, clock_ms, handover))
+        assignment.is_none_or(|assignment| assignment.may_be_ordered_by(&node.settings.name, clock_ms, handover))
     };
-    let board = node.board.lock().unwrap();
-    let in_flight = |instance: &str| board.get(instance).map_or(0, |belief| belief.in_flight);
+    let balancer = node.balancer.lock().unwrap();
+    let in_flight = |instance: &str| balancer.get(instance).map_or(0, |server| server.in_flight);
     scheduler.next_orders(node.now(), |instance| may_be_ordered(instance).then(|| in_flight(instance)))
 }
 
@@ -354,11 +354,11 @@
     }
 }
 
-fn scheduler_settings(settings: &EntrySettings) -> WeightPlanSettings {
-    WeightPlanSettings {
-        parallel_share: settings.load_share,
-        load_time: Duration::from_millis(settings.first_load_ms),
-        proof_time: settings.entry_ttl() + LIST_LAG,
-        ..WeightPlanSettings::default()
+fn scheduler_settings(settings: &EntrySettings) -> WeightSchedulerSettings {
+    WeightSchedulerSettings {
+        parallel_fraction: settings.load_share,
+        initial_load_time: Duration::from_millis(settings.first_load_ms),
+        discovery_timeout: settings.entry_ttl() + MAX_HEARTBEAT_LAG,
+        ..WeightSchedulerSettings::default()
     }
 }
