--- a/crates/trestlerackd/src/entry/weight_orders.rs
+++ b/crates/trestlerackd/src/entry/weight_orders.rs
@@ -296,7 +296,7 @@
 /// write of the row may have taken long.
 async fn send_order(node: Arc<EntryNode>, planned: PlannedOrder) -> TaskResult {
     let PlannedOrder { engine, order, orders_before, options, .. } = &planned;
-    let Some(fence) = node.lease.fence(node.now()).filter(|held| *held == options.fence) else {
+    let Some(fence) = node.lease.fence(node.now()).filter(|current| *current == options.fence) else {
         return TaskResult::Announced(vec![planned], false);
     };
     let outcome = engine_calls::send_order(&node, engine, order, fence, *orders_before, options.waits_for_runs).await;
--- a/crates/trestlerackd/tests/entry/soak/clients.rs
+++ b/crates/trestlerackd/tests/entry/soak/clients.rs
@@ -153,8 +153,8 @@
         let job = cluster.new_id("job");
         let items = random.random_range(2..9);
         let min_version = if publishes_versions { version.max(2) - 1 } else { 1 };
-        let known = SoakJob { items, min_version, is_rejected: true, ..SoakJob::default() };
-        records.jobs.lock().unwrap().insert(job.clone(), known);
+        let state = SoakJob { items, min_version, is_rejected: true, ..SoakJob::default() };
+        records.jobs.lock().unwrap().insert(job.clone(), state);
         if !submit_job(cluster, records, &mut random, &job) {
             continue;
         }
@@ -181,16 +181,16 @@
         let answer = call(&cluster.nodes[node].client, "POST", &format!("/jobs/{job}"), &[("request-id", job)], &body);
         let status = answer.map(|answer| answer.status);
         let mut jobs = records.jobs.lock().unwrap();
-        let known = jobs.get_mut(job).unwrap();
+        let state = jobs.get_mut(job).unwrap();
         match status {
             Some(202) => {
-                known.accepted_at = Some(Instant::now());
-                known.is_rejected = false;
+                state.accepted_at = Some(Instant::now());
+                state.is_rejected = false;
                 return true;
             }
             Some(status) if NOT_RUN.contains(&status) => {}
             Some(status @ (400 | 404 | 409 | 413)) => cluster.violation(format!("{job} was rejected with {status}")),
-            _ => known.is_rejected = false,
+            _ => state.is_rejected = false,
         }
         drop(jobs);
         std::thread::sleep(Duration::from_millis(random.random_range(50..300)));
@@ -207,15 +207,15 @@
     until: Instant,
 ) -> bool {
     while Instant::now() < until {
-        let (items, known) = {
+        let (items, result_count) = {
             let jobs = records.jobs.lock().unwrap();
             (jobs[job].items, jobs[job].results.len())
         };
-        if known == items {
+        if result_count == items {
             return true;
         }
         // Sometimes reads again from an earlier position, where results must not have changed.
-        let from = if random.random_range(0..4) == 0 { random.random_range(0..=known) } else { known };
+        let from = if random.random_range(0..4) == 0 { random.random_range(0..=result_count) } else { result_count };
         read_results_page(cluster, records, pick_node(random, cluster), job, from);
         std::thread::sleep(Duration::from_millis(random.random_range(5..60)));
     }
@@ -238,32 +238,32 @@
     }
     let page = answer.json();
     let mut jobs = records.jobs.lock().unwrap();
-    let known = jobs.get_mut(job).unwrap();
-    if page["total"] != known.items {
+    let state = jobs.get_mut(job).unwrap();
+    if page["total"] != state.items {
         cluster.violation(format!("{job} has the total {}", page["total"]));
     }
     for (offset, result) in page["results"].as_array().unwrap().iter().enumerate() {
         let position = from + offset;
-        match known.results.get(&position) {
-            Some(held) if held != result => {
-                cluster.violation(format!("{job} had {held} at {position} and now {result}"));
+        match state.results.get(&position) {
+            Some(earlier) if earlier != result => {
+                cluster.violation(format!("{job} had {earlier} at {position} and now {result}"));
             }
             Some(_) => {}
             None => {
-                check_result(cluster, job, known, result);
-                known.results.insert(position, result.clone());
+                check_result(cluster, job, state, result);
+                state.results.insert(position, result.clone());
             }
         }
     }
 }
 
-fn check_result(cluster: &SoakCluster, job: &str, known: &SoakJob, result: &Value) {
+fn check_result(cluster: &SoakCluster, job: &str, state: &SoakJob, result: &Value) {
     let id = result["id"].as_str().unwrap_or_default();
-    if known.results.values().any(|held| held["id"] == result["id"]) || !id.starts_with(&format!("{job}-item-")) {
+    if state.results.values().any(|earlier| earlier["id"] == result["id"]) || !id.starts_with(&format!("{job}-item-")) {
         cluster.violation(format!("{job} lists {id} twice, or the item is not of this job"));
     }
     if result["state"] != "completed" {
-        if known.ended_at.is_none() {
+        if state.ended_at.is_none() {
             cluster.violation(format!("{job} gave up {id} before its end"));
         }
         return;
@@ -276,7 +276,7 @@
     generated_by.sort_unstable();
     generated_by.dedup();
     if result["versions"] != serde_json::json!(generated_by)
-        || generated_by.first().is_none_or(|v| *v < known.min_version)
+        || generated_by.first().is_none_or(|v| *v < state.min_version)
     {
         cluster.violation(format!("{id} states the versions {}, generated by {generated_by:?}", result["versions"]));
     }
--- a/crates/trestlerackd/tests/entry/soak/fatal.rs
+++ b/crates/trestlerackd/tests/entry/soak/fatal.rs
@@ -84,7 +84,7 @@
 pub fn fatal_content_is_blocked(cluster: &SoakCluster) {
     std::thread::sleep(SETTLE_TIME);
     for content in 0..FATAL_CONTENTS {
-        let (body, ended) = (fatal_body(content), cluster.fragile.ended());
+        let (body, crashes_before) = (fatal_body(content), cluster.fragile.ended());
         let mut blocking = vec![false; cluster.nodes.len()];
         for request in 0..FINAL_REQUESTS {
             let node = request % cluster.nodes.len();
@@ -93,10 +93,10 @@
                 std::thread::sleep(REQUEST_PAUSE);
             }
         }
-        let ended = cluster.fragile.ended() - ended;
-        if ended > MAX_FINAL_CRASHES || blocking.contains(&false) {
+        let crashes = cluster.fragile.ended() - crashes_before;
+        if crashes > MAX_FINAL_CRASHES || blocking.contains(&false) {
             cluster.violation(format!(
-                "content {content} crashed {ended} servers after the last fault, blocked by nodes: {blocking:?}"
+                "content {content} crashed {crashes} servers after the last fault, blocked by nodes: {blocking:?}"
             ));
         }
     }
--- a/crates/trestlerackd/tests/entry/soak/faults.rs
+++ b/crates/trestlerackd/tests/entry/soak/faults.rs
@@ -110,15 +110,15 @@
     let what = if killed_after.is_some() { "stopped, then killed" } else { "stopped" };
     let Some(disturbance) = begin_stop(cluster, node, what, killed_after.is_none()) else { return };
     cluster.daemon(node).signal_if_running("-TERM");
-    let begun = Instant::now();
+    let started_at = Instant::now();
     if let Some(after) = killed_after {
         std::thread::sleep(after);
         cluster.daemon(node).signal_if_running("-KILL");
     }
     let succeeded = wait_end(cluster, node);
-    let was_undisturbed = cluster.was_undisturbed(node, begun, Instant::now(), Duration::ZERO, true);
-    if killed_after.is_none() && was_undisturbed && (!succeeded || begun.elapsed() > STOP_LIMIT) {
-        cluster.violation(format!("node {node} took {:?} to stop, with success {succeeded}", begun.elapsed()));
+    let was_undisturbed = cluster.was_undisturbed(node, started_at, Instant::now(), Duration::ZERO, true);
+    if killed_after.is_none() && was_undisturbed && (!succeeded || started_at.elapsed() > STOP_LIMIT) {
+        cluster.violation(format!("node {node} took {:?} to stop, with success {succeeded}", started_at.elapsed()));
     }
     restart(cluster, node, disturbance);
 }
--- a/crates/trestlerackd/tests/entry/soak/mod.rs
+++ b/crates/trestlerackd/tests/entry/soak/mod.rs
@@ -99,10 +99,11 @@
         return vec![seed];
     }
     let fresh = number_from("TRESTLERACK_SOAK_SEEDS").unwrap_or(0);
-    let kept = REGRESSIONS.lines().filter(|line| !line.starts_with('#')).filter_map(|line| line.split(':').next());
-    let kept = kept.map(|seed| seed.trim().parse().expect("a seed"));
+    let regressions =
+        REGRESSIONS.lines().filter(|line| !line.starts_with('#')).filter_map(|line| line.split(':').next());
+    let regressions = regressions.map(|seed| seed.trim().parse().expect("a seed"));
     let fresh = (0..fresh).map(|_| rand::random::<u64>() % 1_000_000_000);
-    std::iter::once(FIXED_SEED).chain(kept).chain(fresh).collect()
+    std::iter::once(FIXED_SEED).chain(regressions).chain(fresh).collect()
 }
 
 #[test]
--- a/crates/trestlerackd/tests/entry/support/daemon.rs
+++ b/crates/trestlerackd/tests/entry/support/daemon.rs
@@ -139,7 +139,7 @@
 
     fn wait_ready(&mut self) {
         eventually("the daemon is ready", || {
-            assert!(self.child.try_wait().unwrap().is_none(), "{} ended", self.name);
+            assert!(self.child.try_wait().unwrap().is_none(), "{} exited", self.name);
             call(&self.ready, "GET", "/trestlerack/ready", &[], "").is_some_and(|answer| answer.status == 200)
         });
     }
@@ -192,12 +192,12 @@
 
     /// Waits for the exit of the daemon and returns whether its exit status is success.
     pub fn wait_end(&mut self) -> bool {
-        let mut ended = None;
+        let mut exit_status = None;
         eventually("the daemon ends", || {
-            ended = self.child.try_wait().unwrap();
-            ended.is_some()
+            exit_status = self.child.try_wait().unwrap();
+            exit_status.is_some()
         });
-        ended.unwrap().success()
+        exit_status.unwrap().success()
     }
 }
 
--- a/crates/trestlerackd/tests/entry/support/store.rs
+++ b/crates/trestlerackd/tests/entry/support/store.rs
@@ -32,7 +32,7 @@
     /// Number of the next transactions that are applied without a reply.
     lose_replies: usize,
     /// Whether every call is rejected.
-    is_down: bool,
+    is_unavailable: bool,
     /// Table whose watches return no changes; its reads and writes work.
     silent_table: Option<&'static str>,
     /// Version before which changes are no longer available to watches.
@@ -44,9 +44,9 @@
     /// Number of transactions whose conditions did not hold, by partition.
     conflicts: BTreeMap<String, usize>,
     /// Delay of every call, in milliseconds.
-    slow_ms: u64,
+    delay_ms: u64,
     /// Table whose reads are delayed, and the delay in milliseconds.
-    slow_table: Option<(&'static str, u64)>,
+    delayed_table: Option<(&'static str, u64)>,
 }
 
 /// Store that serves the platform's store interface from memory.
@@ -93,9 +93,9 @@
     pub fn rename_rows(&self, table: &str, rename: impl Fn(&str) -> String) {
         let mut state = self.state.0.lock().unwrap();
         let rows = std::mem::take(&mut state.rows);
-        let renamed = rows.into_iter().map(|((of, part, key), value)| {
+        let renamed = rows.into_iter().map(|((of, partition, key), value)| {
             let key = if of == table { rename(&key) } else { key };
-            ((of, part, key), value)
+            ((of, partition, key), value)
         });
         state.rows = renamed.collect();
     }
@@ -120,8 +120,8 @@
     }
 
     /// Rejects every call, like a store that is unavailable.
-    pub fn set_unavailable(&self, is_down: bool) {
-        self.state.0.lock().unwrap().is_down = is_down;
+    pub fn set_unavailable(&self, is_unavailable: bool) {
+        self.state.0.lock().unwrap().is_unavailable = is_unavailable;
         self.state.1.notify_all();
     }
 
@@ -151,12 +151,12 @@
         self.state.1.notify_all();
     }
 
-    pub fn set_delay(&self, slow_ms: u64) {
-        self.state.0.lock().unwrap().slow_ms = slow_ms;
+    pub fn set_delay(&self, delay_ms: u64) {
+        self.state.0.lock().unwrap().delay_ms = delay_ms;
     }
 
-    pub fn set_read_delay(&self, table: &'static str, slow_ms: u64) {
-        self.state.0.lock().unwrap().slow_table = Some((table, slow_ms));
+    pub fn set_read_delay(&self, table: &'static str, delay_ms: u64) {
+        self.state.0.lock().unwrap().delayed_table = Some((table, delay_ms));
     }
 
     /// Returns the number of reads of a partition.
@@ -188,8 +188,8 @@
     state.changes.push((version, key, value));
 }
 
-fn row((table, part, key): &RowKey, value: &str, ver: u64) -> Value {
-    json!({ "table": table, "part": part, "key": key, "value": value, "ver": ver })
+fn row((table, partition, key): &RowKey, value: &str, ver: u64) -> Value {
+    json!({ "table": table, "part": partition, "key": key, "value": value, "ver": ver })
 }
 
 fn handle(shared: &(Mutex<StoreState>, Condvar), started: Instant, request: &Received) -> (u16, Value) {
@@ -199,16 +199,16 @@
         let value = pairs.filter(|(key, _)| *key == name).map(|(_, value)| value).next().unwrap_or("");
         decode_percent(value)
     };
-    let slow_ms = {
+    let delay_ms = {
         let state = shared.0.lock().unwrap();
         let table_delay =
-            state.slow_table.filter(|(table, _)| path.ends_with("rows-get") && *table == parameter("table"));
-        state.slow_ms + table_delay.map_or(0, |(_, slow_ms)| slow_ms)
+            state.delayed_table.filter(|(table, _)| path.ends_with("rows-get") && *table == parameter("table"));
+        state.delay_ms + table_delay.map_or(0, |(_, delay_ms)| delay_ms)
     };
-    std::thread::sleep(Duration::from_millis(slow_ms));
+    std::thread::sleep(Duration::from_millis(delay_ms));
     let now_ms = started.elapsed().as_millis() as u64;
     let mut state = shared.0.lock().unwrap();
-    if state.is_down {
+    if state.is_unavailable {
         return (503, json!({}));
     }
     match path.rsplit('/').next().unwrap() {
@@ -228,9 +228,9 @@
             (status, body)
         }
         "rows-get" => {
-            let (table, part, from) = (parameter("table"), parameter("part"), parameter("from"));
-            *state.reads.entry(part.clone()).or_default() += 1;
-            let is_requested = |key: &RowKey| key.0 == table && key.1 == part && key.2 >= from;
+            let (table, partition, from) = (parameter("table"), parameter("part"), parameter("from"));
+            *state.reads.entry(partition.clone()).or_default() += 1;
+            let is_requested = |key: &RowKey| key.0 == table && key.1 == partition && key.2 >= from;
             let rows: Vec<Value> = state
                 .rows
                 .iter()
@@ -252,9 +252,9 @@
                 state.silent_table != Some(&table)
                     && state.changes.iter().any(|(v, key, _)| *v > after && key.0 == table)
             };
-            let may_wait = |state: &mut StoreState| !has_changes(state) && !state.is_down;
+            let may_wait = |state: &mut StoreState| !has_changes(state) && !state.is_unavailable;
             let (state, _) = shared.1.wait_timeout_while(state, wait, may_wait).unwrap();
-            if state.is_down {
+            if state.is_unavailable {
                 return (503, json!({}));
             }
             if after < state.oldest_change {
