--- a/crates/trestlerackd/src/entry/peers.rs
+++ b/crates/trestlerackd/src/entry/peers.rs
@@ -1,8 +1,8 @@
 //! Calls between nodes: relayed store calls, jobs, usage, load, crash reports and store changes.
 
-use super::adoption;
 use super::feed_relay::{self, FeedCall, FeedReply};
 use super::held::HeldDecision;
+use super::job_takeover;
 use super::news;
 use super::node::EntryNode;
 use super::pool::ConnectionPool;
@@ -371,7 +371,7 @@
         PeerCall::Feed(call) => PeerReply::Feed(feed_relay::answer(node, call).await),
         PeerCall::Trial { server, fingerprint } => PeerReply::Trial(suspects::grant_trial(node, &server, fingerprint)),
         PeerCall::Load(message) => PeerReply::Load(news::answer_peer(node, message)),
-        PeerCall::Drive { job } => PeerReply::IsDriving(adoption::drive_assigned(node, &job).await),
+        PeerCall::Drive { job } => PeerReply::IsDriving(job_takeover::drive_assigned(node, &job).await),
         PeerCall::End { job } => {
             let is_driven = node.drivers.lock().unwrap().contains_key(&job);
             node.record_job_end(&job);
