--- a/crates/trestlerackd/src/entry/job_takeover.rs
+++ b/crates/trestlerackd/src/entry/job_takeover.rs
@@ -52,7 +52,7 @@
     loop {
         clock::sleep(POLL_INTERVAL).await;
         // Only a follower of the store sees each change of a job.
-        node.levels.wait_direct().await;
+        node.follower.wait_direct().await;
         if node.is_stopping() || node.routing().is_none() {
             continue;
         }
@@ -146,7 +146,7 @@
 /// Returns this node's rank in the order of a job's successors, from 0.
 fn own_rank(node: &EntryNode, job: &Name, owner: &Name) -> usize {
     let mut others = node.peers.capacities();
-    others.retain(|(name, _)| name != owner && node.levels.is_follower(name));
+    others.retain(|(name, _)| name != owner && node.follower.is_follower(name));
     successor_rank(job, (&node.settings.name, node.settings.capacity()), &others)
 }
 
--- a/crates/trestlerackd/src/entry/node.rs
+++ b/crates/trestlerackd/src/entry/node.rs
@@ -1,11 +1,11 @@
 //! The state that an entry node shares between its tasks.
 
 use super::callers::KeyRefresh;
-use super::duties::UsageBook;
+use super::duties::UsageTracker;
+use super::follower_state::FollowerState;
 use super::held::HeldDesk;
 use super::job_driver::JobDriver;
 use super::lease_cache::LeaseCache;
-use super::levels::LevelDesk;
 use super::metrics::EntryMetrics;
 use super::peers::PeerClient;
 use super::pool::ConnectionPool;
@@ -114,10 +114,10 @@
     pub weights: WeightState,
     /// The lease on weight orders and background duties.
     pub lease: LeaseCache,
-    /// Counts requests of customers that began to run.
-    pub usage: UsageBook,
+    /// Counts the customers' requests that started to run.
+    pub usage: UsageTracker,
     /// Whether this node is a follower of the store, and the changes that it relays.
-    pub levels: LevelDesk,
+    pub follower: FollowerState,
     /// Version of this node's row when it was last written; `u64::MAX` before the first write.
     pub registered_version: AtomicU64,
     /// Age of the known ends of jobs.
@@ -177,8 +177,8 @@
             row_missing: Notify::new(),
             weights: WeightState::default(),
             lease: LeaseCache::default(),
-            usage: UsageBook::new(settings.usage()),
-            levels: LevelDesk::new(clock.now()),
+            usage: UsageTracker::new(settings.usage()),
+            follower: FollowerState::new(clock.now()),
             registered_version: AtomicU64::new(u64::MAX),
             job_end_freshness: Mutex::default(),
             jobs: Mutex::default(),
--- a/crates/trestlerackd/src/entry/order_lease.rs
+++ b/crates/trestlerackd/src/entry/order_lease.rs
@@ -3,7 +3,7 @@
 
 use super::node::EntryNode;
 use super::weight_orders::{self, OrderTasks, ServiceScheduler};
-use super::{feeds, tables};
+use super::{table_watch, tables};
 use crate::process::clock;
 use crate::process::logs;
 use std::collections::BTreeMap;
@@ -71,8 +71,8 @@
     };
     loop {
         // A node that does not follow the store takes no lease and has none to release.
-        if !node.levels.is_direct() && task.held_fence.is_none() {
-            node.levels.wait_direct().await;
+        if !node.follower.is_direct() && task.held_fence.is_none() {
+            node.follower.wait_direct().await;
         }
         tokio::select! {
             () = clock::sleep(CHECK_INTERVAL) => {}
@@ -118,7 +118,7 @@
 /// the previous holder decides how long an engine must not be ordered.
 async fn read_orders(node: &Arc<EntryNode>) -> Result<(), StoreError> {
     for row in tables::read_all(&node.store, tables::STATE, tables::ENGINES).await? {
-        feeds::learn_assignment(node, &row.key, tables::decode(&row.value)?);
+        table_watch::apply_assignment(node, &row.key, tables::decode(&row.value)?);
     }
     Ok(())
 }
@@ -145,7 +145,7 @@
     // A node that does not follow the store knows too few engines. Peers recognize a restarted holder by
     // its registration row, so that row must exist first. A node that has not read the state table knows
     // neither the lease nor its own rank.
-    if !node.levels.is_direct() {
+    if !node.follower.is_direct() {
         return;
     }
     if !node.is_registered.load(Ordering::Relaxed) || !node.has_read_state.load(Ordering::Relaxed) {
@@ -190,7 +190,7 @@
 /// fencing token.
 fn rank_delay(node: &EntryNode, fence: u64) -> Duration {
     let mut names = node.peers.names();
-    names.retain(|name| node.levels.is_follower(name));
+    names.retain(|name| node.follower.is_follower(name));
     let key = hash_parts(&[tables::ORDER_LEASE, &fence.to_string()]);
     let rank = rank_among(key, &node.settings.name, names.iter().map(|name| &**name));
     (RANK_DELAY * u32::try_from(rank).unwrap_or(u32::MAX)).min(MAX_RANK_DELAY)
--- a/crates/trestlerackd/src/entry/peers.rs
+++ b/crates/trestlerackd/src/entry/peers.rs
@@ -364,11 +364,11 @@
             }
         }
         PeerCall::Usage { sender, snapshots } => {
-            node.usage.take(&sender, snapshots);
+            node.usage.merge(&sender, snapshots);
             PeerReply::UsageRecorded
         }
         PeerCall::CrashReports { reports } => PeerReply::CrashReports(suspects::answer_peer(node, &reports)),
-        PeerCall::Feed(call) => PeerReply::Feed(feed_relay::answer(node, call).await),
+        PeerCall::Feed(call) => PeerReply::Feed(feed_relay::handle_call(node, call).await),
         PeerCall::Trial { server, fingerprint } => PeerReply::Trial(suspects::grant_trial(node, &server, fingerprint)),
         PeerCall::Load(message) => PeerReply::Load(news::answer_peer(node, message)),
         PeerCall::Drive { job } => PeerReply::IsDriving(job_takeover::drive_assigned(node, &job).await),
--- a/crates/trestlerackd/src/entry/weight_orders.rs
+++ b/crates/trestlerackd/src/entry/weight_orders.rs
@@ -2,7 +2,7 @@
 
 use super::engine_calls::{self, ORDER_TIMEOUT};
 use super::node::EntryNode;
-use super::{feeds, tables};
+use super::{table_watch, tables};
 use crate::process::logs;
 use futures_util::future;
 use std::collections::BTreeMap;
@@ -181,7 +181,9 @@
             (instance, EngineAssignment { model, version, ordered_ms, tried_ms, holder, load_ms })
         })
         .collect();
-    assigned.iter().for_each(|(instance, assignment)| feeds::learn_assignment(node, instance, assignment.clone()));
+    assigned
+        .iter()
+        .for_each(|(instance, assignment)| table_watch::apply_assignment(node, instance, assignment.clone()));
     // Batched, because the first update assigns many engines.
     for batch in assigned.chunks(tables::MAX_COMMIT_ROWS) {
         write_assignments(node, batch).await;
@@ -316,13 +318,13 @@
         let now_ms = node.store.clock_ms();
         let is_late = now_ms >= intent.ordered_ms + CORRECTION_DELAY_MS;
         let accepted = EngineAssignment { ordered_ms: now_ms, tried_ms: now_ms, ..intent };
-        feeds::learn_assignment(node, &planned.order.instance, accepted.clone());
+        table_watch::apply_assignment(node, &planned.order.instance, accepted.clone());
         return is_late.then_some(accepted);
     }
     let (version, ordered_ms) =
         planned.previous.as_ref().map_or((0, 0), |previous| (previous.version, previous.ordered_ms));
     let reverted = EngineAssignment { version, ordered_ms, ..intent };
-    feeds::learn_assignment(node, &planned.order.instance, reverted.clone());
+    table_watch::apply_assignment(node, &planned.order.instance, reverted.clone());
     Some(reverted)
 }
 
