--- a/crates/trestlerackd/src/entry/attempts.rs
+++ b/crates/trestlerackd/src/entry/attempts.rs
@@ -363,7 +363,7 @@
             Ok(response) if response.status.is_server_error() => server_responses::record_failure(node, &server),
             Ok(_) => {
                 let took = node.now().since(timer.started);
-                node.route_times.lock().unwrap().record(&route.name, took);
+                node.route_latencies.lock().unwrap().record(&route.name, took);
                 plain::record_latency(node, route, request, took);
                 server_responses::record_success(node, &server, &route.name, timer);
             }
--- a/crates/trestlerackd/src/entry/duties/usage_count.rs
+++ b/crates/trestlerackd/src/entry/duties/usage_count.rs
@@ -109,7 +109,7 @@
         return true;
     }
     match node.peers.get(holder) {
-        Some(row) => node.peers.tell_usage(&row.address, sender, snapshots).await.is_some(),
+        Some(row) => node.peers.send_usage(&row.address, sender, snapshots).await.is_some(),
         None => false,
     }
 }
--- a/crates/trestlerackd/src/entry/duties/usage_report.rs
+++ b/crates/trestlerackd/src/entry/duties/usage_report.rs
@@ -131,7 +131,7 @@
     };
     state.expired_keys = keys.into_iter().filter(|key| is_expired_key(key)).collect();
     let mut newest = None;
-    for (key, content) in tables::join_pieces(rows) {
+    for (key, content) in tables::join_chunks(rows) {
         if let Some(window) = window_of(&key, REPORT_PREFIX) {
             let report: UsageReport = tables::decode(&content)?;
             newest = newest.max(Some(window));
@@ -179,13 +179,13 @@
         let marked = UsageReport { is_sent: true, ..report.clone() };
         transaction = transaction.put(tables::USAGE, &report_key(*window), tables::encode(&marked));
     }
-    for key in state.expired_keys.iter().take(tables::COMMIT_ROWS / 2) {
+    for key in state.expired_keys.iter().take(tables::MAX_COMMIT_ROWS / 2) {
         transaction = transaction.remove(tables::USAGE, key);
     }
     let stored = match node.store.call(&StoreCall::Commit(transaction)).await {
         Ok(StoreReply::Committed(_)) => {
             state.unmarked.clear();
-            let removed = state.expired_keys.len().min(tables::COMMIT_ROWS / 2);
+            let removed = state.expired_keys.len().min(tables::MAX_COMMIT_ROWS / 2);
             state.expired_keys.drain(..removed);
             Some(report)
         }
@@ -275,7 +275,7 @@
         let content = tables::encode(snapshots);
         let bytes = node.settings.store_row_bytes;
         let first_write = transaction.writes.len();
-        transaction = tables::put_pieces(transaction, tables::USAGE, &snapshots_key(*window), &content, bytes);
+        transaction = tables::put_chunked(transaction, tables::USAGE, &snapshots_key(*window), &content, bytes);
         let keys = transaction.writes[first_write..].iter().map(|write| write.key.clone()).collect();
         state.snapshot_keys.insert(*window, keys);
     }
--- a/crates/trestlerackd/src/entry/feed_relay.rs
+++ b/crates/trestlerackd/src/entry/feed_relay.rs
@@ -242,7 +242,7 @@
 ) -> Option<FeedReply> {
     let (name, zone) = (node.settings.name.clone(), node.settings.zone.clone());
     let call = FeedCall { node: name, zone, position, counts_id: node.follower.counts_id(), wait_ms };
-    node.peers.ask_feed(peer, call, RESPONSE_MARGIN + Duration::from_millis(wait_ms)).await
+    node.peers.read_feed(peer, call, RESPONSE_MARGIN + Duration::from_millis(wait_ms)).await
 }
 
 /// Applies the changes of a follower; the request was sent at `requested_at`.
@@ -270,7 +270,7 @@
     table_watch::apply_rows(node, platform::OPERATOR_TABLE, operators);
     table_watch::apply_rows(node, tables::STATE, states);
     if is_snapshot {
-        node.has_state.store(true, Ordering::Relaxed);
+        node.has_read_state.store(true, Ordering::Relaxed);
     }
     match subset {
         Some(subset) => {
@@ -280,7 +280,7 @@
         None => table_watch::apply_rows(node, platform::SERVER_TABLE, servers),
     }
     node.suspects.set_watch_down(is_store_down);
-    let mut end_news = node.end_news.lock().unwrap();
+    let mut end_news = node.job_end_freshness.lock().unwrap();
     if is_store_down {
         end_news.record_failure();
     } else {
@@ -293,8 +293,8 @@
     let node_rows = rows.iter().filter(|row| is_node_partition(&row.partition));
     let registered: Vec<Name> = node_rows.map(|row| row.key.clone()).collect();
     let own = node.settings.name.clone();
-    if node.registered_at.load(Ordering::Relaxed) <= version && !registered.contains(&own) {
-        node.unlisted.notify_one();
+    if node.registered_version.load(Ordering::Relaxed) <= version && !registered.contains(&own) {
+        node.row_missing.notify_one();
     }
     node.peers.forget_missing(&registered, version);
     let jobs: Vec<Name> = rows.iter().map(|row| row.partition.clone()).collect();
--- a/crates/trestlerackd/src/entry/follower_state.rs
+++ b/crates/trestlerackd/src/entry/follower_state.rs
@@ -328,7 +328,9 @@
         tables::LEASES => row.removed || previous.is_none_or(|previous| !is_same_lease(row, previous)),
         tables::SUSPECTS => true,
         partition if is_node_partition(partition) => true,
-        _ if &*row.key == tables::HEAD => row.removed || previous.is_none_or(|previous| !is_same_owner(row, previous)),
+        _ if &*row.key == tables::JOB_RECORD => {
+            row.removed || previous.is_none_or(|previous| !is_same_owner(row, previous))
+        }
         _ => true,
     }
 }
--- a/crates/trestlerackd/src/entry/job_accept.rs
+++ b/crates/trestlerackd/src/entry/job_accept.rs
@@ -82,7 +82,7 @@
 /// Stores a job and has it driven. Returns the version of its record row.
 async fn accept(node: &Arc<EntryNode>, spec: &Arc<JobSpec>, customer: Option<&Name>) -> Result<u64, SubmitError> {
     if let Some(view) = node.job(&spec.id) {
-        return check_known_job(&view.head, view.version, spec, customer);
+        return check_known_job(&view.record, view.version, spec, customer);
     }
     let content = tables::encode(&**spec);
     let mut memory = node.resource_limits.memory.reserve(MemoryPurpose::Texts, spec.bytes() + content.len());
@@ -95,14 +95,19 @@
     }
     let spec_rows = if fits_rows { content.len().div_ceil(node.settings.store_row_bytes).max(1) } else { 0 };
     let record = JobRecord { customer: customer.cloned(), ..new_record(node, spec, spec_rows) };
-    let mut transaction = RowTransaction::new(spec.id.clone()).expect(tables::STATE, tables::HEAD, 0).put(
+    let mut transaction = RowTransaction::new(spec.id.clone()).expect(tables::STATE, tables::JOB_RECORD, 0).put(
         tables::STATE,
-        tables::HEAD,
+        tables::JOB_RECORD,
         tables::encode(&record),
     );
     if fits_rows {
-        transaction =
-            tables::put_pieces(transaction, tables::SPECS, tables::HEAD, &content, node.settings.store_row_bytes);
+        transaction = tables::put_chunked(
+            transaction,
+            tables::SPECS,
+            tables::JOB_RECORD,
+            &content,
+            node.settings.store_row_bytes,
+        );
     }
     let call = StoreCall::Commit(transaction);
     let deadline = node.now() + CLIENT_WRITE_TIMEOUT;
@@ -121,7 +126,7 @@
         if node.now() >= deadline {
             break;
         }
-        node.store.pause_after(error, failures, CLIENT_WRITE_RETRY_DELAY).await;
+        node.store.wait_before_retry(error, failures, CLIENT_WRITE_RETRY_DELAY).await;
     }
     Err(if may_be_stored { SubmitError::Unknown } else { SubmitError::NotAccepted })
 }
@@ -146,7 +151,9 @@
     own_record: &JobRecord,
     rows: Vec<trestlerack::rows::StoredRow>,
 ) -> Result<u64, SubmitError> {
-    let Some(row) = rows.into_iter().find(|row| &*row.key == tables::HEAD) else { return Err(SubmitError::Unknown) };
+    let Some(row) = rows.into_iter().find(|row| &*row.key == tables::JOB_RECORD) else {
+        return Err(SubmitError::Unknown);
+    };
     let record: JobRecord = tables::decode(&row.value).map_err(|_| SubmitError::Unknown)?;
     let outcome = check_known_job(&record, row.version, spec, own_record.customer.as_ref());
     if record.write_id == own_record.write_id {
@@ -157,7 +164,7 @@
 
 /// Starts to drive a job that was just stored, at the node that its record names.
 fn start_accepted(node: &Arc<EntryNode>, spec: &Arc<JobSpec>, record: JobRecord, version: u64) {
-    node.learn_head(record.clone(), version, &spec.id);
+    node.merge_job_record(record.clone(), version, &spec.id);
     if record.owner == node.settings.name {
         job_driver::start(node, spec.clone(), record, version);
     } else {
@@ -170,7 +177,7 @@
     let mut newest_owner: Option<(u64, Name)> = None;
     let mut models_by_owner: BTreeMap<Name, BTreeSet<Option<Name>>> = BTreeMap::new();
     for view in node.jobs.lock().unwrap().values() {
-        let record = &view.head;
+        let record = &view.record;
         if record.model == spec.model && record.host == spec.host {
             newest_owner = newest_owner.max(Some((record.accepted_ms, record.owner.clone())));
         } else if !view.is_ended && !record.is_complete() {
--- a/crates/trestlerackd/src/entry/job_calls.rs
+++ b/crates/trestlerackd/src/entry/job_calls.rs
@@ -46,7 +46,7 @@
     request: &ClientRequest,
 ) -> Result<JobView, JobLookupError> {
     let view = find_job(node, job).await?;
-    if request.caller.may_access(view.head.customer.as_ref()) { Ok(view) } else { Err(JobLookupError::NotFound) }
+    if request.caller.may_access(view.record.customer.as_ref()) { Ok(view) } else { Err(JobLookupError::NotFound) }
 }
 
 /// Finds a job, and reads it from the store if this node does not know it.
@@ -60,11 +60,11 @@
 /// Reads a job's record, and whether the job has ended, from the store.
 async fn read_job(node: &Arc<EntryNode>, job: &Name) -> Result<JobView, JobLookupError> {
     let rows = tables::read_all(&node.store, tables::STATE, job).await.map_err(|_| JobLookupError::Unavailable)?;
-    let is_ended = rows.iter().any(|row| &*row.key == tables::END);
-    let row = rows.into_iter().find(|row| &*row.key == tables::HEAD).ok_or(JobLookupError::NotFound)?;
-    node.learn_head(tables::decode(&row.value).map_err(|_| JobLookupError::Unavailable)?, row.version, job);
+    let is_ended = rows.iter().any(|row| &*row.key == tables::JOB_END);
+    let row = rows.into_iter().find(|row| &*row.key == tables::JOB_RECORD).ok_or(JobLookupError::NotFound)?;
+    node.merge_job_record(tables::decode(&row.value).map_err(|_| JobLookupError::Unavailable)?, row.version, job);
     if is_ended {
-        node.learn_end(job);
+        node.record_job_end(job);
     }
     node.job(job).ok_or(JobLookupError::Unavailable)
 }
@@ -98,7 +98,7 @@
         Ok(view) => view,
         Err(error) => return error_reply(&error, request, job),
     };
-    let results = if view.head.recorded > from {
+    let results = if view.record.recorded > from {
         match load_results(node, job, from).await {
             Ok(results) => results,
             Err(_) => return error_reply(&JobLookupError::Unavailable, request, job),
@@ -106,10 +106,10 @@
     } else {
         Vec::new()
     };
-    if view.head.recorded > from && results.is_empty() {
+    if view.record.recorded > from && results.is_empty() {
         return error_reply(&JobLookupError::Unavailable, request, job);
     }
-    let page = platform::ResultPage { total: view.head.total, offset: from, results };
+    let page = platform::ResultPage { total: view.record.total, offset: from, results };
     match platform::encode_result_page(&page) {
         Ok(body) => json_reply(body, request),
         Err(error) => {
@@ -131,12 +131,12 @@
     from: usize,
     deadline: Timestamp,
 ) -> Result<JobView, JobLookupError> {
-    let mut changes = node.job_news.subscribe();
+    let mut changes = node.job_changes.subscribe();
     loop {
         let view = find_job(node, job).await?;
-        let has_more = view.head.recorded > from;
+        let has_more = view.record.recorded > from;
         let now = node.now();
-        if has_more || view.head.is_complete() {
+        if has_more || view.record.is_complete() {
             return Ok(view);
         }
         if view.is_ended {
@@ -169,7 +169,7 @@
 /// Reads up to one page of recorded results from a position on.
 pub async fn load_results(node: &Arc<EntryNode>, job: &str, from: usize) -> Result<Vec<JobResult>, StoreError> {
     let (rows, more) = tables::read_page(&node.store, tables::RESULTS, job, &result_key(from)).await?;
-    let mut joined = tables::join_pieces(rows);
+    let mut joined = tables::join_chunks(rows);
     if more && joined.len() > 1 {
         // The last result may have pieces on the next page.
         joined.pop();
@@ -195,7 +195,7 @@
     let driven_spec = node.drivers.lock().unwrap().get(job).map(|driver| driver.spec.clone());
     let spec = match driven_spec {
         Some(spec) => spec,
-        None => match load_spec(node, job, &view.head).await {
+        None => match load_spec(node, job, &view.record).await {
             Ok(spec) => Arc::new(spec),
             Err(_) => return error_reply(&JobLookupError::Unavailable, request, job),
         },
@@ -221,7 +221,7 @@
         };
     }
     let rows = tables::read_all(&node.store, tables::SPECS, job).await?;
-    let joined = tables::join_pieces(rows);
+    let joined = tables::join_chunks(rows);
     let (_, content) = joined.into_iter().next().ok_or(StoreError::Unknown)?;
     tables::decode(&content)
 }
@@ -235,14 +235,17 @@
     };
     if !view.is_ended {
         let transaction =
-            RowTransaction::new(job.clone()).put(tables::STATE, tables::END, tables::encode(&node.settings.name));
+            RowTransaction::new(job.clone()).put(tables::STATE, tables::JOB_END, tables::encode(&node.settings.name));
         if !retry_write(node, transaction).await {
             logs::write(event::JOB_READ_FAILED, &[("job", job), ("why", &"the end could not be stored")]);
             return empty_reply(StatusCode::BAD_GATEWAY, id);
         }
-        logs::write(event::JOB_ENDED, &[("job", job), ("listed", &view.head.recorded), ("total", &view.head.total)]);
-        node.learn_end(job);
-        tokio::spawn(notify_owner(node.clone(), job.clone(), view.head.owner_address.clone()));
+        logs::write(
+            event::JOB_ENDED,
+            &[("job", job), ("listed", &view.record.recorded), ("total", &view.record.total)],
+        );
+        node.record_job_end(job);
+        tokio::spawn(notify_owner(node.clone(), job.clone(), view.record.owner_address.clone()));
     }
     empty_reply(StatusCode::OK, id)
 }
@@ -252,7 +255,7 @@
     if owner.is_empty() || owner == node.settings.peer_listen {
         return;
     }
-    if node.peers.end(&owner, &job).await.is_none() {
+    if node.peers.announce_job_end(&owner, &job).await.is_none() {
         logs::write(event::END_UNTOLD, &[("job", &job), ("owner", &owner), ("why", &"it does not respond")]);
     }
 }
@@ -271,7 +274,7 @@
         if node.now() >= deadline {
             break;
         }
-        node.store.pause_after(error, failures, CLIENT_WRITE_RETRY_DELAY).await;
+        node.store.wait_before_retry(error, failures, CLIENT_WRITE_RETRY_DELAY).await;
     }
     false
 }
--- a/crates/trestlerackd/src/entry/job_records.rs
+++ b/crates/trestlerackd/src/entry/job_records.rs
@@ -24,7 +24,8 @@
     mut version: u64,
 ) -> Option<(JobRecord, u64)> {
     loop {
-        let batch = driver.tracker.lock().unwrap().take_results(tables::COMMIT_ROWS / 2, tables::COMMIT_BYTES / 2);
+        let batch =
+            driver.tracker.lock().unwrap().take_results(tables::MAX_COMMIT_ROWS / 2, tables::MAX_COMMIT_BYTES / 2);
         if batch.is_empty() {
             let is_done = !driver.is_driving() || driver.tracker.lock().unwrap().is_complete();
             if is_done {
@@ -50,7 +51,7 @@
         batch.iter().for_each(|result| tracker.mark_recorded(&result.id));
         drop(tracker);
         node.metrics.record_results(batch.len());
-        node.learn_head(record.clone(), version, &driver.spec.id);
+        node.merge_job_record(record.clone(), version, &driver.spec.id);
         driver.wake.notify_one();
     }
 }
@@ -63,15 +64,15 @@
     batch: &[JobResult],
     next_record: &JobRecord,
 ) -> RowTransaction {
-    let mut transaction = RowTransaction::new(job.clone()).expect(tables::STATE, tables::HEAD, version).put(
+    let mut transaction = RowTransaction::new(job.clone()).expect(tables::STATE, tables::JOB_RECORD, version).put(
         tables::STATE,
-        tables::HEAD,
+        tables::JOB_RECORD,
         tables::encode(next_record),
     );
     for (offset, result) in batch.iter().enumerate() {
         let content = tables::encode(result);
         let key = result_key(record.recorded + offset);
-        transaction = tables::put_pieces(transaction, tables::RESULTS, &key, &content, node.settings.store_row_bytes);
+        transaction = tables::put_chunked(transaction, tables::RESULTS, &key, &content, node.settings.store_row_bytes);
     }
     transaction
 }
@@ -89,7 +90,7 @@
         let error = match node.store.call(&call).await {
             Ok(StoreReply::Committed(moment)) => return Some(moment.version),
             Ok(StoreReply::Conflict(rows)) => {
-                let row = rows.into_iter().find(|row| &*row.key == tables::HEAD)?;
+                let row = rows.into_iter().find(|row| &*row.key == tables::JOB_RECORD)?;
                 let stored: JobRecord = tables::decode(&row.value).ok()?;
                 // An earlier attempt of the same write may have been committed although its reply was lost.
                 return (stored.write_id == next_record.write_id).then_some(row.version);
@@ -100,7 +101,7 @@
         if driver.is_lost() {
             return None;
         }
-        node.store.pause_after(error, failures, RECORD_RETRY_DELAY).await;
+        node.store.wait_before_retry(error, failures, RECORD_RETRY_DELAY).await;
     }
     None
 }
--- a/crates/trestlerackd/src/entry/job_takeover.rs
+++ b/crates/trestlerackd/src/entry/job_takeover.rs
@@ -59,7 +59,7 @@
         let open = open_jobs(&node);
         probes_by_job.retain(|job, _| open.iter().any(|(id, _)| id == job));
         for (job, view) in open {
-            if is_own(&node, &view.head) {
+            if is_own(&node, &view.record) {
                 drive_assigned(&node, &job).await;
                 continue;
             }
@@ -68,7 +68,7 @@
                 let is_unresponsive = probes.failed_probes >= MAX_FAILED_PROBES;
                 take_over(&node, &job).await;
                 if is_unresponsive {
-                    unregister_node(&node, &view.head.owner).await;
+                    unregister_node(&node, &view.record.owner).await;
                 }
             }
         }
@@ -78,7 +78,7 @@
 fn open_jobs(node: &EntryNode) -> Vec<(Name, JobView)> {
     let drivers = node.drivers.lock().unwrap();
     let jobs = node.jobs.lock().unwrap();
-    let is_open = |id: &Name, view: &JobView| !view.is_ended && !view.head.is_complete() && !drivers.contains_key(id);
+    let is_open = |id: &Name, view: &JobView| !view.is_ended && !view.record.is_complete() && !drivers.contains_key(id);
     jobs.iter().filter(|(id, view)| is_open(id, view)).map(|(id, view)| (id.clone(), view.clone())).collect()
 }
 
@@ -100,15 +100,15 @@
         return false;
     }
     let Ok(spec) = job_calls::load_spec(node, job, &record).await else { return false };
-    node.learn_head(record.clone(), version, job);
+    node.merge_job_record(record.clone(), version, job);
     job_driver::start(node, Arc::new(spec), record, version);
     true
 }
 
 async fn read_record(node: &Arc<EntryNode>, job: &Name) -> Result<(JobRecord, u64, bool), StoreError> {
     let rows = tables::read_all(&node.store, tables::STATE, job).await?;
-    let is_ended = rows.iter().any(|row| &*row.key == tables::END);
-    let row = rows.into_iter().find(|row| &*row.key == tables::HEAD).ok_or(StoreError::Unknown)?;
+    let is_ended = rows.iter().any(|row| &*row.key == tables::JOB_END);
+    let row = rows.into_iter().find(|row| &*row.key == tables::JOB_RECORD).ok_or(StoreError::Unknown)?;
     Ok((tables::decode(&row.value)?, row.version, is_ended))
 }
 
@@ -155,7 +155,7 @@
 /// probe if one is due.
 async fn should_take_over(node: &Arc<EntryNode>, job: &Name, view: &JobView, probes: &mut OwnerProbes) -> bool {
     let now = node.now();
-    let record = &view.head;
+    let record = &view.record;
     if record.owner == node.settings.name {
         return record.incarnation != node.incarnation;
     }
@@ -173,7 +173,7 @@
         return false;
     }
     probes.probed_at = now;
-    match node.peers.drives(&record.owner_address, job).await {
+    match node.peers.is_driving(&record.owner_address, job).await {
         Some(true) => {
             probes.failed_probes = 0;
             false
@@ -204,11 +204,11 @@
     let known = node.job(job).ok_or(StoreError::Unknown)?;
     let (stored, version, is_ended) = read_record(node, job).await?;
     if is_ended {
-        node.learn_end(job);
+        node.record_job_end(job);
         return Ok(false);
     }
-    if stored.fence != known.head.fence || stored.owner != known.head.owner {
-        node.learn_head(stored, version, job);
+    if stored.fence != known.record.fence || stored.owner != known.record.owner {
+        node.merge_job_record(stored, version, job);
         return Ok(false);
     }
     let spec = Arc::new(job_calls::load_spec(node, job, &stored).await?);
@@ -220,9 +220,9 @@
         write_id: node.write_id(),
         ..stored.clone()
     };
-    let transaction = RowTransaction::new(job.clone()).expect(tables::STATE, tables::HEAD, version).put(
+    let transaction = RowTransaction::new(job.clone()).expect(tables::STATE, tables::JOB_RECORD, version).put(
         tables::STATE,
-        tables::HEAD,
+        tables::JOB_RECORD,
         tables::encode(&record),
     );
     match node.store.call(&StoreCall::Commit(transaction)).await? {
@@ -230,7 +230,7 @@
             let fields: [(&str, &dyn std::fmt::Display); 4] =
                 [("job", job), ("from", &stored.owner), ("fence", &record.fence), ("listed", &record.recorded)];
             logs::write(event::JOB_TAKEN, &fields);
-            node.learn_head(record.clone(), moment.version, job);
+            node.merge_job_record(record.clone(), moment.version, job);
             job_driver::start(node, spec, record, moment.version);
             Ok(true)
         }
--- a/crates/trestlerackd/src/entry/job_texts.rs
+++ b/crates/trestlerackd/src/entry/job_texts.rs
@@ -47,9 +47,9 @@
     }
     let mut checkpoints: HashMap<Name, ItemCheckpoint> = HashMap::new();
     for job in checkpoint_sources(node, spec, record) {
-        let first = if job == spec.id { tables::KEPT_LOG } else { tables::KEPT_END };
+        let first = if job == spec.id { tables::CHECKPOINT_LOG } else { tables::FINAL_CHECKPOINT };
         // Checkpoints only save time, so a failed read does not delay the job.
-        match tables::read_from(&node.store, tables::KEPT, &job, first).await {
+        match tables::read_from(&node.store, tables::CHECKPOINTS, &job, first).await {
             Ok(rows) => merge_checkpoints(&mut checkpoints, rows, spec.min_version),
             Err(error) => logs::write(event::TEXTS_LOST, &[("job", &job), ("why", &error)]),
         }
@@ -67,14 +67,14 @@
     let jobs = node.jobs.lock().unwrap();
     // Texts of one customer never become part of another customer's results, even if item ids are equal.
     let is_related = |id: &Name, view: &&JobView| {
-        let known = &view.head;
+        let known = &view.record;
         let is_same = known.model == spec.model && known.host == spec.host && known.customer == record.customer;
         view.is_ended && *id != spec.id && is_same
     };
     let mut related: Vec<(u64, Name)> = jobs
         .iter()
         .filter(|(id, view)| is_related(id, view))
-        .map(|(id, view)| (view.head.accepted_ms, id.clone()))
+        .map(|(id, view)| (view.record.accepted_ms, id.clone()))
         .collect();
     related.sort_by(|left, right| right.cmp(left));
     related.truncate(MAX_CHECKPOINT_JOBS);
@@ -90,8 +90,8 @@
     min_version: WeightVersion,
 ) {
     let mut transcripts: HashMap<Name, ItemTranscript> = HashMap::new();
-    for (key, content) in tables::join_pieces(rows) {
-        let merged = if key.starts_with(tables::KEPT_LOG) {
+    for (key, content) in tables::join_chunks(rows) {
+        let merged = if key.starts_with(tables::CHECKPOINT_LOG) {
             tables::decode(&content).map(|deltas| join_deltas(&mut transcripts, deltas))
         } else {
             let items = tables::decode::<Vec<ItemCheckpoint>>(&content);
@@ -136,20 +136,21 @@
 pub async fn log_texts(node: Arc<EntryNode>, driver: Arc<JobDriver>, fence: u64) {
     for number in 0.. {
         clock::sleep(TEXT_LOG_INTERVAL).await;
-        let deltas = driver.tracker.lock().unwrap().take_unstored(TEXT_LOG_MIN_EVENTS, tables::COMMIT_BYTES / 2);
+        let deltas = driver.tracker.lock().unwrap().take_unstored(TEXT_LOG_MIN_EVENTS, tables::MAX_COMMIT_BYTES / 2);
         if deltas.is_empty() {
             continue;
         }
-        let key = format!("{}-{fence:04}-{number:06}", tables::KEPT_LOG);
+        let key = format!("{}-{fence:04}-{number:06}", tables::CHECKPOINT_LOG);
         let transaction = RowTransaction::new(driver.spec.id.clone());
         let content = tables::encode(&deltas);
-        let transaction = tables::put_pieces(transaction, tables::KEPT, &key, &content, node.settings.store_row_bytes);
+        let transaction =
+            tables::put_chunked(transaction, tables::CHECKPOINTS, &key, &content, node.settings.store_row_bytes);
         let call = StoreCall::Commit(transaction);
         // Later deltas continue this one, so it is retried until it is stored.
         let mut failures = 0;
         while let Err(error) = node.store.call(&call).await {
             failures += 1;
-            node.store.pause_after(error, failures, RECORD_RETRY_DELAY).await;
+            node.store.wait_before_retry(error, failures, RECORD_RETRY_DELAY).await;
         }
     }
 }
@@ -160,10 +161,11 @@
     let job = &driver.spec.id;
     let count = checkpoints.len();
     for (piece, batch) in split_batches(checkpoints).into_iter().enumerate() {
-        let key = format!("{}-{:04}-{piece:04}", tables::KEPT_END, record.fence);
+        let key = format!("{}-{:04}-{piece:04}", tables::FINAL_CHECKPOINT, record.fence);
         let content: Bytes = tables::encode(&batch);
         let transaction = RowTransaction::new(job.clone());
-        let transaction = tables::put_pieces(transaction, tables::KEPT, &key, &content, node.settings.store_row_bytes);
+        let transaction =
+            tables::put_chunked(transaction, tables::CHECKPOINTS, &key, &content, node.settings.store_row_bytes);
         if let Err(error) = node.store.call(&StoreCall::Commit(transaction)).await {
             logs::write(event::TEXTS_LOST, &[("job", job), ("why", &error)]);
         }
@@ -171,9 +173,9 @@
     logs::write(event::TEXTS_KEPT, &[("job", job), ("items", &count)]);
     if driver.is_handed_over() {
         let next_record = JobRecord { owner: "".into(), write_id: node.write_id(), ..record };
-        let transaction = RowTransaction::new(job.clone()).expect(tables::STATE, tables::HEAD, version).put(
+        let transaction = RowTransaction::new(job.clone()).expect(tables::STATE, tables::JOB_RECORD, version).put(
             tables::STATE,
-            tables::HEAD,
+            tables::JOB_RECORD,
             tables::encode(&next_record),
         );
         // An error is ignored: a peer that gets no response from this node takes the job over too, only later.
@@ -187,7 +189,7 @@
     for item in checkpoints {
         bytes += item.transcript.text.len();
         batch.push(item);
-        if bytes > tables::COMMIT_BYTES / 2 {
+        if bytes > tables::MAX_COMMIT_BYTES / 2 {
             batches.push(std::mem::take(&mut batch));
             bytes = 0;
         }
--- a/crates/trestlerackd/src/entry/load_gossip/mod.rs
+++ b/crates/trestlerackd/src/entry/load_gossip/mod.rs
@@ -33,7 +33,7 @@
 /// Sends a message to a peer and applies its response. Returns whether the peer responded.
 async fn exchange(node: &Arc<EntryNode>, peer: &Name, message: LoadMessage) -> bool {
     let message = LoadMessage { sender: node.settings.name.clone(), ..message };
-    let Some(response) = node.peers.tell_news(peer, message).await else { return false };
+    let Some(response) = node.peers.exchange_load(peer, message).await else { return false };
     shares::apply(node, response.shares);
     observations::apply(node, response.servers);
     true
--- a/crates/trestlerackd/src/entry/load_gossip/observations.rs
+++ b/crates/trestlerackd/src/entry/load_gossip/observations.rs
@@ -23,7 +23,7 @@
 
 /// Wakes the sender, since there may be observations to send.
 pub fn wake(node: &EntryNode) {
-    node.has_server_notes.notify_one();
+    node.new_observations.notify_one();
 }
 
 /// Applies the observations of a peer. A peer that sends an empty message has just started and pulls, so it gets
@@ -55,7 +55,7 @@
 /// Sends server observations to peers, until the process ends.
 pub async fn send_to_peers(node: Arc<EntryNode>) {
     loop {
-        node.has_server_notes.notified().await;
+        node.new_observations.notified().await;
         clock::sleep(BATCH_DELAY).await;
         while send_some(&node).await {
             clock::sleep(RATE_LIMIT_DELAY).await;
@@ -74,7 +74,7 @@
     }
     let own = observations.iter().filter(|observation| observation.origin == node.settings.name);
     own.for_each(|observation| log_changed(node, observation));
-    let chosen = server_gossip_settings().pick_push_peers(&node.peers.others(), &mut rand::rng());
+    let chosen = server_gossip_settings().pick_push_peers(&node.peers.peer_addresses(), &mut rand::rng());
     let message = LoadMessage { servers: observations, ..LoadMessage::default() };
     // A peer that does not respond gets the observations from other peers.
     send(node, &chosen, message).await;
@@ -86,7 +86,7 @@
 pub async fn pull_from_peer(node: Arc<EntryNode>) {
     let gossip = server_gossip_settings();
     for _ in 0..MAX_PULLED_PEERS {
-        let peer = gossip.pick_pull_peer(&node.peers.others(), &mut rand::rng());
+        let peer = gossip.pick_pull_peer(&node.peers.peer_addresses(), &mut rand::rng());
         if let Some(peer) = peer
             && exchange(&node, &peer, LoadMessage::default()).await
         {
--- a/crates/trestlerackd/src/entry/plain.rs
+++ b/crates/trestlerackd/src/entry/plain.rs
@@ -149,7 +149,7 @@
 /// Returns the time after which a repeatable request is overdue at a server: the late threshold of its route, or
 /// longer if the target latency allows it.
 pub fn overdue_threshold(node: &EntryNode, route: &RequestRoute) -> Duration {
-    let late_threshold = node.route_times.lock().unwrap().late_threshold(&route.name);
+    let late_threshold = node.route_latencies.lock().unwrap().late_threshold(&route.name);
     let by_target = Duration::from_millis(route.target_latency_ms) * OVERDUE_FACTOR;
     by_target.max(late_threshold.unwrap_or(INITIAL_OVERDUE_THRESHOLD))
 }
--- a/crates/trestlerackd/src/entry/server_discovery.rs
+++ b/crates/trestlerackd/src/entry/server_discovery.rs
@@ -98,7 +98,7 @@
     if node.follower.relays_changes() {
         node.follower.mark_complete(platform::SERVER_TABLE);
     }
-    node.has_registry.store(true, Ordering::Relaxed);
+    node.has_read_registry.store(true, Ordering::Relaxed);
     logs::write(event::SERVERS_READ, &[("count", &count)]);
 }
 
--- a/crates/trestlerackd/src/entry/suspects/gossip.rs
+++ b/crates/trestlerackd/src/entry/suspects/gossip.rs
@@ -50,14 +50,14 @@
     loop {
         node.suspects.has_unsent.notified().await;
         let reports = node.suspects.take_unsent();
-        let chosen = gossip.pick_push_peers(&node.peers.others(), &mut rand::rng());
+        let chosen = gossip.pick_push_peers(&node.peers.peer_addresses(), &mut rand::rng());
         join_all(chosen.iter().map(|peer| exchange(&node, peer, &reports))).await;
     }
 }
 
 async fn exchange(node: &Arc<EntryNode>, peer: &Name, reports: &[CrashReport]) {
     // A peer that does not respond gets the reports from other peers, or pulls them.
-    if let Some(response) = node.peers.tell_strikes(peer, reports).await {
+    if let Some(response) = node.peers.exchange_crash_reports(peer, reports).await {
         merge_from_peer(node, &response);
     }
 }
@@ -68,7 +68,7 @@
     let gossip = GossipSettings::default();
     loop {
         if node.suspects.is_watch_down() {
-            let peer = gossip.pick_pull_peer(&node.peers.others(), &mut rand::rng());
+            let peer = gossip.pick_pull_peer(&node.peers.peer_addresses(), &mut rand::rng());
             if let Some(peer) = peer {
                 exchange(&node, &peer, &newest_reports(&node)).await;
             }
--- a/crates/trestlerackd/src/entry/suspects/rows.rs
+++ b/crates/trestlerackd/src/entry/suspects/rows.rs
@@ -97,7 +97,7 @@
             }
             failures += 1;
             node.suspects.requeue_unstored(changes);
-            node.store.pause_after(error, failures, failure_backoff(failures, rand::random())).await;
+            node.store.wait_before_retry(error, failures, failure_backoff(failures, rand::random())).await;
         }
     }
 }
@@ -135,7 +135,7 @@
     let is_expired =
         |(index, (at_ms, _)): &(usize, &(u64, Name))| *index < surplus || at_ms + 2 * retention_ms <= clock_ms;
     let expired: Vec<&Name> = dated.iter().enumerate().filter(is_expired).map(|(_, (_, key))| key).collect();
-    for keys in expired.chunks(tables::COMMIT_ROWS) {
+    for keys in expired.chunks(tables::MAX_COMMIT_ROWS) {
         let transaction =
             keys.iter().fold(RowTransaction::new(tables::SUSPECTS), |tx, key| tx.remove(tables::STATE, key));
         node.store.call(&StoreCall::Commit(transaction)).await?;
--- a/crates/trestlerackd/src/entry/suspects/trials.rs
+++ b/crates/trestlerackd/src/entry/suspects/trials.rs
@@ -23,7 +23,7 @@
     let server = &guard.server.instance;
     let is_granted = match trial_owner(node, server) {
         None => Some(grant_trial(node, server, guard.fingerprint)),
-        Some(address) => node.peers.ask_trial(&address, server, guard.fingerprint).await,
+        Some(address) => node.peers.request_trial(&address, server, guard.fingerprint).await,
     };
     if is_granted == Some(false) {
         guard.mark_shared();
--- a/crates/trestlerackd/tests/entry/crashes.rs
+++ b/crates/trestlerackd/tests/entry/crashes.rs
@@ -50,7 +50,7 @@
 
 #[test]
 fn a_request_that_crashes_servers_is_blocked_on_all_nodes() {
-    let platform = Platform::start_counts(0, 0);
+    let platform = Platform::start_with_counts(0, 0);
     let servers = plain_servers(&platform, 3);
     let nodes = start_nodes(&platform, &["a", "b", "c"]);
     for arrival in 0..ARRIVALS {
@@ -95,7 +95,7 @@
 
 #[test]
 fn a_non_idempotent_request_that_crashes_servers_is_blocked() {
-    let platform = Platform::start_counts(0, 0);
+    let platform = Platform::start_with_counts(0, 0);
     let servers = plain_servers(&platform, 3);
     let nodes = start_nodes(&platform, &["a", "b", "c"]);
     send_until_blocked(&nodes, "/once/x", "once");
@@ -109,14 +109,18 @@
 #[test]
 fn a_stream_and_its_resumption_are_blocked() {
     for events_before_crash in [0, 2] {
-        let platform = Platform::start_counts(0, 0);
+        let platform = Platform::start_with_counts(0, 0);
         let servers = CrashingServers::start(&platform.store, "models", 3, RESTART_DELAY);
         servers.events_before_crash.store(events_before_crash, Ordering::SeqCst);
         let nodes = start_nodes(&platform, &["a", "b"]);
         for arrival in 0..ARRIVALS {
-            let (text, is_complete) =
-                read_stream_of(&nodes[arrival % nodes.len()].client, "/resumed/x", &format!("s{arrival}"), FATAL)
-                    .unwrap();
+            let (text, is_complete) = read_stream_with_body(
+                &nodes[arrival % nodes.len()].client,
+                "/resumed/x",
+                &format!("s{arrival}"),
+                FATAL,
+            )
+            .unwrap();
             assert!(!is_complete, "{text}");
             std::thread::sleep(ARRIVAL_PAUSE);
         }
@@ -130,7 +134,7 @@
 /// then be counted from service discovery.
 #[test]
 fn a_crash_after_the_client_disconnected_is_counted() {
-    let platform = Platform::start_counts(0, 0);
+    let platform = Platform::start_with_counts(0, 0);
     let servers = plain_servers(&platform, 3);
     let nodes = start_nodes(&platform, &["a", "b"]);
     for arrival in 0..ARRIVALS {
@@ -152,7 +156,7 @@
 /// every node.
 #[test]
 fn bystanders_are_served_and_not_blamed() {
-    let platform = Platform::start_counts(0, 0);
+    let platform = Platform::start_with_counts(0, 0);
     let servers = plain_servers(&platform, 4);
     servers.work_ms.store(120, Ordering::SeqCst);
     let nodes = start_nodes(&platform, &["a", "b", "c"]);
@@ -210,7 +214,7 @@
 /// its owner was killed do not send the item again.
 #[test]
 fn an_item_stays_blocked_when_its_job_is_taken_over() {
-    let platform = Platform::start_counts(2, 0);
+    let platform = Platform::start_with_counts(2, 0);
     let engines = CrashingServers::start(&platform.store, "models", 4, RESTART_DELAY);
     engines.work_ms.store(50, Ordering::SeqCst);
     let mut nodes = start_nodes(&platform, &["a", "b", "c"]);
@@ -236,7 +240,7 @@
 
 #[test]
 fn a_blocked_score_call_does_not_delay_the_others() {
-    let platform = Platform::start_counts(0, 2);
+    let platform = Platform::start_with_counts(0, 2);
     let scorers = plain_servers(&platform, 3);
     let nodes = start_nodes(&platform, &["a", "b"]);
     let body = job_with_fatal_item("job1", FATAL);
@@ -252,7 +256,7 @@
 /// them. Each is still sent to at most four servers, with the submitted bytes.
 #[test]
 fn score_calls_that_crash_servers_together_are_each_blocked() {
-    let platform = Platform::start_counts(0, 2);
+    let platform = Platform::start_with_counts(0, 2);
     let scorers = plain_servers(&platform, 3);
     let nodes = start_nodes(&platform, &["a", "b", "c"]);
     let fatal: Vec<String> = (0..4).map(|number| format!("{FATAL}, number {number}")).collect();
@@ -275,7 +279,7 @@
 
 #[test]
 fn a_starting_node_knows_what_is_blocked() {
-    let platform = Platform::start_counts(0, 0);
+    let platform = Platform::start_with_counts(0, 0);
     let servers = plain_servers(&platform, 3);
     let mut nodes = start_nodes(&platform, &["a", "b"]);
     send_until_blocked(&nodes, "/safe/x", "fatal");
@@ -292,7 +296,7 @@
 
 #[test]
 fn a_node_that_was_cut_off_or_paused_knows_what_is_blocked() {
-    let platform = Platform::start_counts(0, 0);
+    let platform = Platform::start_with_counts(0, 0);
     let servers = plain_servers(&platform, 3);
     let mut nodes = start_nodes(&platform, &["a", "b"]);
     // Nothing listens at this store address, so the node reaches the store only through its peers.
@@ -317,10 +321,10 @@
 /// suspended at the time pulls them. Once the store is back, the reports are stored.
 #[test]
 fn nodes_exchange_crash_reports_while_the_store_is_down() {
-    let platform = Platform::start_counts(0, 0);
+    let platform = Platform::start_with_counts(0, 0);
     let servers = plain_servers(&platform, 6);
     let nodes = start_nodes(&platform, &["a", "b", "c", "d"]);
-    platform.store.go_down(true);
+    platform.store.set_unavailable(true);
     nodes[3].signal("-STOP");
     // The first arrival crashes two of the six servers, and each later one crashes one.
     for (id, crashes) in [("r1", 2), ("r2", 3)] {
@@ -333,16 +337,16 @@
         assert!(blocks(node, &format!("again{number}")), "node {number}");
     }
     assert_eq!(servers.crash_count(), 3);
-    assert_eq!(platform.store.count("state", "suspects"), 0);
-    platform.store.go_down(false);
-    eventually("the crash reports are stored", || platform.store.count("state", "suspects") == 3);
+    assert_eq!(platform.store.row_count("state", "suspects"), 0);
+    platform.store.set_unavailable(false);
+    eventually("the crash reports are stored", || platform.store.row_count("state", "suspects") == 3);
 }
 
 /// Stored rows and logs of a suspect contain neither the path and body of the request nor the API key of its
 /// caller.
 #[test]
 fn neither_body_nor_key_of_a_suspect_is_stored() {
-    let platform = Platform::start_counts(0, 0);
+    let platform = Platform::start_with_counts(0, 0);
     let servers = plain_servers(&platform, 3);
     platform.configure(2, json!([{ "name": "wash", "api_keys": ["secret-key"] }]));
     let log = std::env::temp_dir().join(format!("entry-suspects-{}.log", std::process::id()));
@@ -352,13 +356,13 @@
         let headers = [("request-id", id), ("authorization", "Bearer secret-key")];
         call(&daemon.client, "POST", "/safe/private", &headers, FATAL);
     }
-    eventually("the crash reports are stored", || platform.store.count("state", "suspects") == 3);
+    eventually("the crash reports are stored", || platform.store.row_count("state", "suspects") == 3);
     assert_eq!(servers.crash_count(), 3);
     let log_text = || std::fs::read_to_string(&log).unwrap();
     eventually("the block is logged", || log_text().contains("TR2109"));
     let text = log_text();
     for secret in ["secret-key", FATAL, "/safe/private"] {
-        assert!(!platform.store.holds(secret) && !text.contains(secret), "{secret}");
+        assert!(!platform.store.contains_text(secret) && !text.contains(secret), "{secret}");
     }
     std::fs::remove_file(&log).unwrap();
 }
--- a/crates/trestlerackd/tests/entry/customers.rs
+++ b/crates/trestlerackd/tests/entry/customers.rs
@@ -89,7 +89,7 @@
         assert!(!headers.contains_key("authorization"));
     }
     for key in [KEY_ONE, KEY_TWO, OTHER_KEY] {
-        assert!(!platform.store.holds(key), "a row contains {key}");
+        assert!(!platform.store.contains_text(key), "a row contains {key}");
         assert!(!std::fs::read_to_string(&log).unwrap().contains(key), "the log contains {key}");
     }
     std::fs::remove_file(log).unwrap();
--- a/crates/trestlerackd/tests/entry/engines.rs
+++ b/crates/trestlerackd/tests/entry/engines.rs
@@ -90,7 +90,7 @@
 #[test]
 fn a_half_generated_stream_resumes_one_step_more_urgent() {
     // A broken stream makes its engine unavailable for a moment, so there are more engines than streams.
-    let platform = Platform::start_counts(1, 4);
+    let platform = Platform::start_with_counts(1, 4);
     platform.configure(
         2,
         json!([{ "name": "one", "api_keys": [KEY], "priority": 3 }, { "name": "two", "api_keys": [OTHER_KEY] }]),
@@ -138,7 +138,7 @@
 fn a_run_waits_for_an_engine_with_enough_memory() {
     let platform = Platform::start();
     platform.reconfigure(2, |config| config["services"][1]["engine"]["kv_capacity"] = json!(150));
-    platform.engine.pace_ms.store(EVENT_GAP.as_millis() as usize, Ordering::SeqCst);
+    platform.engine.event_interval_ms.store(EVENT_GAP.as_millis() as usize, Ordering::SeqCst);
     let (daemon, log, metrics) = start(&platform, "memory");
     assert_eq!(submit(&daemon, "job1", 4), 202);
     eventually("both engines have a run", || {
@@ -148,7 +148,7 @@
         assert!(tokens.iter().all(|tokens| *tokens == "100"), "{page}");
         tokens.len() == 2
     });
-    assert_eq!(read_all(&daemon, "job1", 4).len(), 4);
+    assert_eq!(read_results(&daemon, "job1", 4).len(), 4);
     let starts = platform.engine.last_runs.lock().unwrap().clone();
     let headers = platform.engine.headers.lock().unwrap().clone();
     for engine in ["i-engine-0", "i-engine-1"] {
@@ -156,7 +156,7 @@
         let mut times: Vec<Instant> = starts.iter().filter(|(id, _)| is_here(id)).map(|(_, at)| *at).collect();
         times.sort();
         // A run lasts five events, and the next one starts after it has ended.
-        let is_sequential = |pair: &[Instant]| pair[1] - pair[0] >= EVENT_GAP * EVENTS as u32;
+        let is_sequential = |pair: &[Instant]| pair[1] - pair[0] >= EVENT_GAP * EVENTS_PER_STREAM as u32;
         assert!(times.len() == 2 && times.windows(2).all(is_sequential), "{engine}: {times:?}");
     }
     let skipped = log_lines(&log, "TR2311", 1);
@@ -180,7 +180,7 @@
     assert_eq!(log_lines(&log, "TR2313", 1).len(), 1);
     // Items may need up to 100 tokens but may end with fewer, so only an engine can refuse them.
     assert_eq!(submit(&daemon, "job1", 2), 202);
-    assert!(read_all(&daemon, "job1", 2).iter().all(|result| result["state"] == "completed"));
+    assert!(read_results(&daemon, "job1", 2).iter().all(|result| result["state"] == "completed"));
     assert_eq!(log_lines(&log, "TR2312", 2).len(), 2);
     std::fs::remove_file(log).unwrap();
 }
--- a/crates/trestlerackd/tests/entry/followers.rs
+++ b/crates/trestlerackd/tests/entry/followers.rs
@@ -24,7 +24,7 @@
 
 impl FollowerFleet {
     fn start(plain: usize, engines: usize) -> Self {
-        let platform = Platform::start_counts(plain, engines);
+        let platform = Platform::start_with_counts(plain, engines);
         let mut nodes: Vec<EntryDaemon> = Vec::new();
         for name in NAMES {
             let settings = DaemonSettings {
@@ -132,7 +132,7 @@
     {
         let non_followers: Vec<&EntryDaemon> = fleet.non_followers().collect();
         assert_eq!(submit(non_followers[0], "job1", items), 202);
-        assert_eq!(read_all(non_followers[1], "job1", items).len(), items);
+        assert_eq!(read_results(non_followers[1], "job1", items).len(), items);
         assert_eq!(submit(non_followers[2], "job2", items), 202);
     }
     // One follower is killed. If it drives the second job, the other follower takes the job over.
@@ -140,7 +140,7 @@
     let index = fleet.nodes.iter().position(|node| *node.name == *first).unwrap();
     fleet.nodes.remove(index).signal("-KILL");
     let non_followers: Vec<&EntryDaemon> = fleet.non_followers().collect();
-    assert_eq!(read_all(non_followers[3], "job2", items).len(), items);
+    assert_eq!(read_results(non_followers[3], "job2", items).len(), items);
     let response = call(&non_followers[1].client, "DELETE", "/trestlerack/lots/job2", &[("host", "h.example")], "");
     assert_eq!(response.map(|answer| answer.status), Some(200));
 }
--- a/crates/trestlerackd/tests/entry/held.rs
+++ b/crates/trestlerackd/tests/entry/held.rs
@@ -183,7 +183,7 @@
     let mut slow = start_upload(&daemon.client, "slow", 1_000, 100, 50).unwrap();
     std::thread::sleep(Duration::from_millis(3_500));
     slow.write_all(&[b'x'; 50]).unwrap();
-    slow.set_read_timeout(Some(PATIENCE)).unwrap();
+    slow.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     assert_eq!(read_response(&mut BufReader::new(slow)).unwrap().status, 200);
 }
 
@@ -193,7 +193,7 @@
     let (daemon, _) = start_small(&platform);
     let chunked = |id: &str, chunks: usize| {
         let mut stream = TcpStream::connect(&daemon.client).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         let head = format!(
             "POST /safe/x HTTP/1.1\r\nhost: h.example\r\nrequest-id: {id}\r\ntransfer-encoding: chunked\r\n\r\n"
         );
@@ -215,7 +215,7 @@
     let platform = Platform::start();
     let (daemon, _) = start_small(&platform);
     let mut stream = TcpStream::connect(&daemon.client).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     send(&mut stream, "POST", "/safe/x", &[("request-id", "r1")], &"x".repeat(1_200_000)).unwrap();
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     assert_eq!(read_response(&mut reader).unwrap().status, 413);
@@ -238,7 +238,7 @@
     let slow = ask("reads-slowly");
     let reading = std::thread::spawn(move || {
         let (mut slow, mut text, mut piece) = (slow, Vec::new(), vec![0; 32 * 1024]);
-        slow.set_read_timeout(Some(PATIENCE)).unwrap();
+        slow.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         while text.len() < LARGE_BYTES {
             std::thread::sleep(Duration::from_millis(60));
             match slow.read(&mut piece) {
@@ -261,8 +261,8 @@
 #[test]
 fn streams_that_are_not_read_delay_no_other_streams() {
     let platform = Platform::start();
-    platform.engine.pace_ms.store(8, Ordering::SeqCst);
-    platform.engine.event_bytes.store(100_000, Ordering::SeqCst);
+    platform.engine.event_interval_ms.store(8, Ordering::SeqCst);
+    platform.engine.event_padding.store(100_000, Ordering::SeqCst);
     let (daemon, _) = start_small(&platform);
     let read_quickly = |round: &str| {
         let mut times: Vec<Duration> = Vec::new();
@@ -296,18 +296,18 @@
 #[test]
 fn a_store_outage_of_ten_seconds_loses_no_result() {
     let platform = Platform::start();
-    platform.engine.pace_ms.store(300, Ordering::SeqCst);
-    platform.engine.event_bytes.store(20_000, Ordering::SeqCst);
+    platform.engine.event_interval_ms.store(300, Ordering::SeqCst);
+    platform.engine.event_padding.store(20_000, Ordering::SeqCst);
     let metrics = free_address();
     let more = json!({ "memory_mb": MEMORY_MB, "metrics_listen": metrics, "retention_s": 60 });
     let daemon = start(&platform, more);
     assert_eq!(submit(&daemon, "job1", 16), 202);
-    platform.store.go_down(true);
+    platform.store.set_unavailable(true);
     let mut normal_calls = NormalCalls::default();
     normal_calls.call_repeatedly(&daemon, Duration::from_secs(10), || {});
     assert!(reserved_bytes(&metrics, "texts") > 100_000);
-    platform.store.go_down(false);
-    assert_eq!(read_all(&daemon, "job1", 16).len(), 16);
+    platform.store.set_unavailable(false);
+    assert_eq!(read_results(&daemon, "job1", 16).len(), 16);
     check_resident(&daemon);
     normal_calls.check();
 }
@@ -316,13 +316,13 @@
 #[test]
 fn a_job_larger_than_the_memory_limit_completes_with_fewer_concurrent_runs() {
     let platform = Platform::start();
-    platform.engine.pace_ms.store(20, Ordering::SeqCst);
-    platform.engine.event_bytes.store(40_000, Ordering::SeqCst);
+    platform.engine.event_interval_ms.store(20, Ordering::SeqCst);
+    platform.engine.event_padding.store(40_000, Ordering::SeqCst);
     let metrics = free_address();
     // Results in the smallest possible memory limit, one megabyte.
     let daemon = start(&platform, json!({ "memory_mb": 10, "metrics_listen": metrics }));
     assert_eq!(submit(&daemon, "job1", 16), 202);
-    let results = read_all(&daemon, "job1", 16);
+    let results = read_results(&daemon, "job1", 16);
     assert!(results.iter().all(|result| result["state"] == "completed"));
     let lines = memory(&metrics);
     let limited = lines.as_array().unwrap().iter().find(|line| line["name"] == "runs-limited").unwrap();
--- a/crates/trestlerackd/tests/entry/requests.rs
+++ b/crates/trestlerackd/tests/entry/requests.rs
@@ -23,15 +23,15 @@
 fn misattributed_and_truncated_responses_are_never_forwarded() {
     let platform = Platform::start();
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
-    platform.plain.foreign_answers.store(1, Ordering::SeqCst);
+    platform.plain.misattributed_responses.store(1, Ordering::SeqCst);
     let response = call(&daemon.client, "POST", "/safe/x", &[("request-id", "r1")], "one").unwrap();
     assert_eq!((response.status, response.body.as_str()), (200, "one"), "it may run again, so it was retried");
     assert_eq!(response.headers["request-id"], "r1");
     assert_eq!(*platform.plain.runs.lock().unwrap(), ["r1", "r1"]);
-    platform.plain.short_answers.store(1, Ordering::SeqCst);
+    platform.plain.truncated_responses.store(1, Ordering::SeqCst);
     let response = call(&daemon.client, "POST", "/safe/x", &[("request-id", "r2")], "two").unwrap();
     assert_eq!((response.status, response.body.as_str()), (200, "two"));
-    platform.plain.short_answers.store(1, Ordering::SeqCst);
+    platform.plain.truncated_responses.store(1, Ordering::SeqCst);
     let response = call(&daemon.client, "POST", "/once/x", &[("request-id", "r3")], "three").unwrap();
     assert_eq!(response.status, 502, "it may have run and must not run again");
     let runs = platform.plain.runs.lock().unwrap();
@@ -41,10 +41,10 @@
 /// A server that refuses a request did not run it, so it does not count against the attempts.
 #[test]
 fn refusals_do_not_count_as_attempts_of_a_stream() {
-    let platform = Platform::start_behind(4, |address| address.to_string());
+    let platform = Platform::start_behind_proxies(4, |address| address.to_string());
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
-    platform.engine.refusals.store(3, Ordering::SeqCst);
-    let complete = whole_text("s1", 1).join(",");
+    platform.engine.rejections.store(3, Ordering::SeqCst);
+    let complete = complete_text("s1", 1).join(",");
     assert_eq!(read_stream(&daemon, "/streamed/x", "s1"), (complete, true));
 }
 
@@ -84,10 +84,10 @@
 fn a_response_that_ends_with_its_connection_is_complete_unless_it_was_reset() {
     let platform = Platform::start();
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
-    platform.plain.unframed_answers.store(1, Ordering::SeqCst);
+    platform.plain.unframed_responses.store(1, Ordering::SeqCst);
     let response = call(&daemon.client, "POST", "/once/x", &[("request-id", "r1")], "unframed").unwrap();
     assert_eq!((response.status, response.body.as_str()), (200, "unframed"));
-    platform.plain.reset_answers.store(1, Ordering::SeqCst);
+    platform.plain.reset_responses.store(1, Ordering::SeqCst);
     let response = call(&daemon.client, "POST", "/once/x", &[("request-id", "r2")], "reset").unwrap();
     assert_eq!(response.status, 502, "a truncated response was forwarded: {}", response.body);
 }
@@ -102,7 +102,9 @@
     eventually("the request runs", || !platform.plain.runs.lock().unwrap().is_empty());
     let disconnected_at = Instant::now();
     drop(stream);
-    eventually("the request at the server is cancelled", || platform.plain.left.load(Ordering::SeqCst) == 1);
+    eventually("the request at the server is cancelled", || {
+        platform.plain.abandoned_requests.load(Ordering::SeqCst) == 1
+    });
     assert!(disconnected_at.elapsed() < Duration::from_millis(500));
 }
 
@@ -127,7 +129,7 @@
     );
     assert_eq!(call(&cut_off.client, "POST", "/safe/x", &[("request-id", "r1")], "x").unwrap().status, 200);
     assert_eq!(submit(&cut_off, "job1", 6), 202);
-    assert_eq!(read_all(&cut_off, "job1", 6), read_all(&peer, "job1", 6));
+    assert_eq!(read_results(&cut_off, "job1", 6), read_results(&peer, "job1", 6));
 }
 
 fn read_stream(daemon: &EntryDaemon, path: &str, id: &str) -> (String, bool) {
@@ -138,7 +140,7 @@
 fn a_broken_stream_is_resumed_only_if_the_route_allows_it() {
     let platform = Platform::start();
     let daemon = EntryDaemon::start("a", &platform.store, &[]);
-    let complete = |id: &str| whole_text(id, 1).join(",");
+    let complete = |id: &str| complete_text(id, 1).join(",");
     assert_eq!(read_stream(&daemon, "/streamed/x", "s1"), (complete("s1"), true));
     platform.engine.broken_streams.store(1, Ordering::SeqCst);
     assert_eq!(read_stream(&daemon, "/resumed/x", "s2"), (complete("s2"), true));
--- a/crates/trestlerackd/tests/entry/room.rs
+++ b/crates/trestlerackd/tests/entry/room.rs
@@ -91,17 +91,17 @@
 #[test]
 fn a_burst_beyond_the_slots_is_partly_served_and_the_rest_refused_early() {
     let mut count = 0;
-    let platform = Platform::start_behind(2, |address| {
+    let platform = Platform::start_behind_proxies(2, |address| {
         count += 1;
         if count == 1 { free_address() } else { address.to_string() }
     });
     platform.configure(2, customers());
     let node = LoggedNode::start(&platform, "burst");
     warm_up(&platform, &node, 40);
-    platform.plain.most_at_once.store(0, Ordering::SeqCst);
+    platform.plain.peak_concurrent_runs.store(0, Ordering::SeqCst);
     let calls = [ids("other", 12), ids("urgent", 12)].concat();
     let outcomes = burst(&node.daemon.client, "/safe/x", &calls);
-    let max_concurrent = platform.plain.most_at_once.load(Ordering::SeqCst);
+    let max_concurrent = platform.plain.peak_concurrent_runs.load(Ordering::SeqCst);
     assert!(
         max_concurrent <= SERVER_SLOTS + SERVER_SLOTS / 2,
         "{max_concurrent} concurrent calls at {SERVER_SLOTS} slots"
@@ -143,12 +143,12 @@
         }
     }
     assert_eq!((node.count("TR2121"), node.count("TR2122"), node.count("TR2123")), (0, 0, 0));
-    assert!(platform.plain.most_at_once.load(Ordering::SeqCst) > 2 * SERVER_SLOTS);
+    assert!(platform.plain.peak_concurrent_runs.load(Ordering::SeqCst) > 2 * SERVER_SLOTS);
 }
 
 /// Starts a platform with one plain server, and a node that has measured a service time of about 0.5 s.
 fn start_with_slow_server(name: &str) -> (Platform, LoggedNode) {
-    let platform = Platform::start_counts(1, 1);
+    let platform = Platform::start_with_counts(1, 1);
     platform.configure(2, customers());
     let node = LoggedNode::start(&platform, name);
     warm_up(&platform, &node, 550);
@@ -167,7 +167,7 @@
     platform.plain.work_ms.store(600, Ordering::SeqCst);
     let client = node.daemon.client.clone();
     let calls = std::thread::spawn(move || burst(&client, "/once/x", &ids("fill", SERVER_SLOTS)));
-    eventually("all slots are in use", || platform.plain.at_once.load(Ordering::SeqCst) == SERVER_SLOTS);
+    eventually("all slots are in use", || platform.plain.concurrent_runs.load(Ordering::SeqCst) == SERVER_SLOTS);
     platform.plain.work_ms.store(50, Ordering::SeqCst);
     calls
 }
--- a/crates/trestlerackd/tests/entry/server_health.rs
+++ b/crates/trestlerackd/tests/entry/server_health.rs
@@ -10,8 +10,8 @@
 
 /// Starts a platform with four servers that report their load.
 fn platform_with_load_reports() -> Platform {
-    let platform = Platform::start_counts(4, 1);
-    platform.plain.states_slowness.store(true, Ordering::SeqCst);
+    let platform = Platform::start_with_counts(4, 1);
+    platform.plain.reports_load.store(true, Ordering::SeqCst);
     platform.plain.work_ms.store(HEALTHY_WORK_MS, Ordering::SeqCst);
     platform
 }
@@ -42,7 +42,7 @@
 
 /// Returns how many requests each server ran since the last call of this function.
 fn take_runs(platform: &Platform) -> Vec<usize> {
-    let runs = std::mem::take(&mut *platform.plain.runs_at.lock().unwrap());
+    let runs = std::mem::take(&mut *platform.plain.runs_by_server.lock().unwrap());
     (0..4).map(|server| runs.get(&server).copied().unwrap_or(0)).collect()
 }
 
@@ -50,7 +50,7 @@
 fn set_busiest_mode(platform: &Platform, mode: ServerMode) -> usize {
     let runs = take_runs(platform);
     let busiest = (0..4).max_by_key(|server| runs[*server]).unwrap();
-    *platform.plain.uneven.lock().unwrap() = Some((busiest, mode));
+    *platform.plain.differing_server.lock().unwrap() = Some((busiest, mode));
     busiest
 }
 
@@ -75,7 +75,7 @@
     let page = call(&metrics, "GET", "/metrics", &[], "").unwrap().body;
     let gauge = format!("trestlerack_entry_server_aside{{server=\"i-plain-{slow}\",service=\"plain\"}} 1");
     assert!(page.contains(&gauge), "{page}");
-    *platform.plain.uneven.lock().unwrap() = None;
+    *platform.plain.differing_server.lock().unwrap() = None;
     let limit = Instant::now() + Duration::from_secs(20);
     while server_status(&metrics, slow)["standing"] != "well" {
         assert!(Instant::now() < limit, "{}", server_status(&metrics, slow));
@@ -140,7 +140,7 @@
 #[test]
 fn servers_that_report_no_slowness_are_not_hedged() {
     let platform = platform_with_load_reports();
-    platform.plain.states_slowness.store(false, Ordering::SeqCst);
+    platform.plain.reports_load.store(false, Ordering::SeqCst);
     let (daemon, metrics) = start_daemon("a", &platform, &[]);
     make_calls(&daemon, "warm", 20);
     set_busiest_mode(&platform, ServerMode::Slow(250));
@@ -154,11 +154,11 @@
     let platform = platform_with_load_reports();
     let (daemon, _) = start_daemon("a", &platform, &[]);
     make_calls(&daemon, "warm", 20);
-    platform.plain.silent_answers.store(1, Ordering::SeqCst);
+    platform.plain.unanswered_requests.store(1, Ordering::SeqCst);
     let longest = make_calls(&daemon, "silent", 1);
     assert!(longest < Duration::from_millis(400), "{longest:?}");
     eventually("the request at the unresponsive server is cancelled", || {
-        platform.plain.left.load(Ordering::SeqCst) == 1
+        platform.plain.abandoned_requests.load(Ordering::SeqCst) == 1
     });
     let runs = platform.plain.runs.lock().unwrap();
     assert_eq!(runs.iter().filter(|id| *id == "silent-0").count(), 2);
--- a/crates/trestlerackd/tests/entry/support/client.rs
+++ b/crates/trestlerackd/tests/entry/support/client.rs
@@ -1,6 +1,6 @@
 //! A minimal HTTP client.
 
-use super::PATIENCE;
+use super::WAIT_TIMEOUT;
 use super::server::read_headers;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -24,7 +24,7 @@
 /// Makes a call on its own connection. Returns `None` if no complete response arrives.
 pub fn call(address: &str, method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> Option<HttpResponse> {
     let mut stream = TcpStream::connect(address).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     send(&mut stream, method, path, headers, body)?;
     read_response(&mut BufReader::new(stream))
 }
