--- a/crates/trestlerackd/src/connection/http_client.rs
+++ b/crates/trestlerackd/src/connection/http_client.rs
@@ -23,7 +23,7 @@
 const MAX_ANSWER: usize = 64 * 1024 * 1024;
 
 /// A whole answer.
-pub struct HttpAnswer {
+pub struct HttpResponse {
     /// Status.
     pub status: StatusCode,
     /// Content type, or an empty name.
@@ -85,7 +85,7 @@
         path: &str,
         body: Vec<u8>,
         timeout: Duration,
-    ) -> Result<HttpAnswer, Failure> {
+    ) -> Result<HttpResponse, Failure> {
         let request = Request::builder()
             .method(method)
             .uri(format!("http://{address}{path}"))
@@ -106,19 +106,19 @@
         path: &str,
         body: &serde_json::Value,
         timeout: Duration,
-    ) -> Result<HttpAnswer, Failure> {
+    ) -> Result<HttpResponse, Failure> {
         self.send_bytes(Method::POST, address, path, body.to_string().into_bytes(), timeout).await
     }
 }
 
 /// Reads the whole body of an answer. A body that breaks off is never passed on as whole.
-pub async fn read_whole(response: Response<Incoming>) -> Result<HttpAnswer, Failure> {
+pub async fn read_whole(response: Response<Incoming>) -> Result<HttpResponse, Failure> {
     let status = response.status();
     let content_type = response.headers().get(header::CONTENT_TYPE);
     let content_type = content_type.and_then(|value| value.to_str().ok()).unwrap_or("").into();
     let body = Limited::new(response.into_body(), MAX_ANSWER).collect().await;
     match body {
-        Ok(body) => Ok(HttpAnswer { status, content_type, body: body.to_bytes() }),
+        Ok(body) => Ok(HttpResponse { status, content_type, body: body.to_bytes() }),
         Err(error) => {
             let detail = format!("the answer broke off: {error}");
             Err(Failure::may_have_run(Reason::BackendFailed, detail))
--- a/crates/trestlerackd/src/connection/link_server.rs
+++ b/crates/trestlerackd/src/connection/link_server.rs
@@ -97,7 +97,7 @@
             LinkFrame::Hello { node: peer } => *self.peer.lock().unwrap() = peer,
             LinkFrame::Probe { id, heartbeat, generation, drain_updates, crash_reports } => {
                 content_gate::hear_strikes(node, &crash_reports);
-                member_loop::hear(node, heartbeat, generation, drain_updates);
+                member_loop::merge_probe(node, heartbeat, generation, drain_updates);
                 self.answer_probe(node, id).await;
             }
             LinkFrame::ConfigFetch { after } => self.send_config(node, after).await,
--- a/crates/trestlerackd/src/entry/item_run.rs
+++ b/crates/trestlerackd/src/entry/item_run.rs
@@ -225,7 +225,7 @@
     if events == 0 {
         return Duration::ZERO;
     }
-    let (since_boot, monotonic) = clock::both_clocks();
+    let (since_boot, monotonic) = clock::boot_and_monotonic_time();
     let Some(sample) = pace.record_arrival(since_boot, monotonic, events) else { return Duration::ZERO };
     node.balancer.lock().unwrap().record_event_gap(node.now(), instance, sample.pace);
     sample.gap
--- a/crates/trestlerackd/src/entry/mod.rs
+++ b/crates/trestlerackd/src/entry/mod.rs
@@ -125,7 +125,7 @@
 /// Logs each time for which the VM was suspended. What peers and the store told meanwhile was missed.
 async fn note_suspensions(node: Arc<EntryNode>) {
     let resumed = |suspended: Duration| {
-        logs::write_suspension(suspended);
+        logs::log_suspension(suspended);
         node.suspects.set_cut_off(true);
     };
     clock::watch_suspensions(resumed).await;
--- a/crates/trestlerackd/src/entry/node.rs
+++ b/crates/trestlerackd/src/entry/node.rs
@@ -199,7 +199,7 @@
     /// hop. Without a collector there is no span and the headers stay as they are.
     pub fn hop(&self, name: &'static str, kind: SpanKind, headers: &mut HeaderMap) -> Option<HopSpan> {
         let parent = headers.get(TRACE_HEADER).and_then(|value| value.to_str().ok());
-        let span = self.tracer.as_ref()?.hop(name, kind, parent);
+        let span = self.tracer.as_ref()?.start_span(name, kind, parent);
         if let Some(context) = span.traceparent.as_deref().and_then(|context| context.parse().ok()) {
             headers.insert(TRACE_HEADER, context);
         }
--- a/crates/trestlerackd/src/entry/server_answers.rs
+++ b/crates/trestlerackd/src/entry/server_answers.rs
@@ -29,14 +29,14 @@
     /// Starts to measure.
     pub fn start(node: &EntryNode) -> Self {
         let mut gauge = SuspensionDetector::default();
-        let (since_boot, monotonic) = clock::both_clocks();
+        let (since_boot, monotonic) = clock::boot_and_monotonic_time();
         gauge.update(since_boot, monotonic);
         Self { started: node.now(), gauge }
     }
 
     /// Returns the time since the start, or `None` if the VM was suspended since.
     fn elapsed(mut self, node: &EntryNode) -> Option<Duration> {
-        let (since_boot, monotonic) = clock::both_clocks();
+        let (since_boot, monotonic) = clock::boot_and_monotonic_time();
         let suspended = self.gauge.update(since_boot, monotonic);
         suspended.is_none().then(|| node.now().since(self.started))
     }
--- a/crates/trestlerackd/src/node.rs
+++ b/crates/trestlerackd/src/node.rs
@@ -3,6 +3,7 @@
 use crate::connection::http_client::HttpClient;
 use crate::connection::links::LinkTable;
 use crate::process::clock::SystemClock;
+use crate::process::groups_in_progress::GroupsInProgress;
 use crate::process::keys::KeyRing;
 use crate::process::platform::{HttpMembershipSource, HttpObjectStore, HttpTableStore};
 use crate::process::recorder::TraceRecorder;
@@ -11,7 +12,6 @@
 use crate::process::step_loop::StepWatch;
 use crate::process::stop::StopState;
 use crate::process::telemetry::Telemetry;
-use crate::process::wanted::WantedGroups;
 use crate::request::content_gate::ContentGate;
 use crate::request::desks::DeskTable;
 use crate::request::engine_client::HttpEngineClient;
@@ -90,7 +90,7 @@
     /// Contents under which backend servers ended.
     pub gate: ContentGate,
     /// Groups that this node is making.
-    pub wanted: WantedGroups,
+    pub groups_in_progress: GroupsInProgress,
     /// Groups that wait for the store.
     pub spool: GroupSpool,
     /// Bounds the samples made at once.
@@ -146,7 +146,7 @@
             limits: UserLimits::default(),
             plain: PlainPool::default(),
             gate: ContentGate::default(),
-            wanted: WantedGroups::default(),
+            groups_in_progress: GroupsInProgress::default(),
             spool: GroupSpool::new(settings.spool_bytes),
             sample_slots: Arc::new(Semaphore::new(settings.max_samples)),
             stop: StopState::default(),
--- a/crates/trestlerackd/src/process/keys.rs
+++ b/crates/trestlerackd/src/process/keys.rs
@@ -15,48 +15,49 @@
 }
 
 impl KeyRing {
-    /// Reads the key files that the settings name.
+    /// Reads the key files that the settings name. Fails if a file cannot be read or the operator or
+    /// peer key is empty.
     pub fn load(settings: &DaemonSettings) -> anyhow::Result<Self> {
-        let text = read(&settings.caller_keys_file)?;
-        let holders: BTreeMap<String, Name> = serde_json::from_str(&text)
+        let text = read_key_file(&settings.caller_keys_file)?;
+        let users_by_key: BTreeMap<String, Name> = serde_json::from_str(&text)
             .with_context(|| format!("{}: expected an object from key to user", settings.caller_keys_file))?;
         let mut callers = CustomerDirectory::default();
-        for (key, name) in holders {
+        for (key, name) in users_by_key {
             callers.add(Customer { name, ..Customer::default() }, &[CustomerKey::new(&key)]);
         }
-        let operator = read(&settings.operator_key_file)?.trim().to_owned();
-        let link = read(&settings.link_key_file)?.trim().to_owned();
+        let operator = read_key_file(&settings.operator_key_file)?.trim().to_owned();
+        let link = read_key_file(&settings.link_key_file)?.trim().to_owned();
         anyhow::ensure!(!operator.is_empty(), "{}: the key is empty", settings.operator_key_file);
         anyhow::ensure!(!link.is_empty(), "{}: the key is empty", settings.link_key_file);
         Ok(Self { callers, operator, link })
     }
 
-    /// Returns the user whose key is presented.
-    pub fn caller(&self, presented: &str) -> Option<Name> {
+    /// Returns the user to whom the presented key belongs.
+    pub fn find_user(&self, presented: &str) -> Option<Name> {
         let credential = CallerCredential::Key(CustomerKey::new(presented));
         self.callers.find(&credential).map(|user| user.name.clone())
     }
 
-    /// Returns whether the operators' key is presented.
+    /// Returns whether the presented key is that of the operators.
     pub fn is_operator(&self, presented: &str) -> bool {
-        is_equal(&self.operator, presented)
+        keys_match(&self.operator, presented)
     }
 
-    /// Returns whether the peers' key is presented.
+    /// Returns whether the presented key is that of the peers.
     pub fn is_peer(&self, presented: &str) -> bool {
-        is_equal(&self.link, presented)
+        keys_match(&self.link, presented)
     }
 
-    /// Returns the key to present to peers.
+    /// Returns the key that this node presents to its peers.
     pub fn link_key(&self) -> &str {
         &self.link
     }
 }
 
-fn is_equal(key: &str, presented: &str) -> bool {
+fn keys_match(key: &str, presented: &str) -> bool {
     key.as_bytes().ct_eq(presented.as_bytes()).into()
 }
 
-fn read(file: &str) -> anyhow::Result<String> {
+fn read_key_file(file: &str) -> anyhow::Result<String> {
     std::fs::read_to_string(file).with_context(|| format!("cannot read the key file {file}"))
 }
--- a/crates/trestlerackd/src/process/logs.rs
+++ b/crates/trestlerackd/src/process/logs.rs
@@ -1,4 +1,4 @@
-//! Writes numbered events through `simplelog`.
+//! Writes numbered log events through `simplelog`.
 
 use simplelog::{Config, ConfigBuilder, LevelFilter, WriteLogger};
 use std::fmt::{Display, Write};
@@ -7,8 +7,8 @@
 use std::time::Duration;
 use trestlerack::event::{self, LogEvent, Severity};
 
-/// Lines that wait to be written before further ones are dropped and counted.
-const MAX_WAITING_LINES: usize = 2_048;
+/// Lines queued for writing; further ones are dropped and counted.
+const MAX_QUEUED_LINES: usize = 2_048;
 
 /// Starts logging to standard error at a level.
 pub fn start(level: &str) -> anyhow::Result<()> {
@@ -17,13 +17,13 @@
     Ok(())
 }
 
-/// Starts logging to standard output at a level, bounded and without ever blocking: a thread of
-/// its own writes the lines, and lines that it cannot keep up with are dropped and counted.
+/// Starts logging to standard output at a level, without ever blocking the caller. A separate thread
+/// writes the lines from a bounded queue; lines that do not fit are dropped and counted.
 pub fn start_bounded(level: &str) -> anyhow::Result<()> {
     let level: LevelFilter = level.parse()?;
-    let (lines, waiting) = sync_channel(MAX_WAITING_LINES);
-    std::thread::Builder::new().name("log".into()).spawn(move || write_lines(&waiting))?;
-    WriteLogger::init(level, log_config(), BoundedWriter { lines, line: Vec::new(), dropped: 0 })?;
+    let (sender, messages) = sync_channel(MAX_QUEUED_LINES);
+    std::thread::Builder::new().name("log".into()).spawn(move || write_lines(&messages))?;
+    WriteLogger::init(level, log_config(), BoundedWriter { sender, line: Vec::new(), dropped: 0 })?;
     Ok(())
 }
 
@@ -31,42 +31,42 @@
     ConfigBuilder::new().set_time_format_rfc3339().add_filter_allow_str("trestlerack").build()
 }
 
-/// Logs for how long the VM was suspended.
-pub fn write_suspension(suspended: Duration) {
+/// Logs how long the VM was suspended.
+pub fn log_suspension(suspended: Duration) {
     write(event::VM_RESUMED, &[("suspended_ms", &suspended.as_millis())]);
 }
 
-/// What the writing thread is handed.
-enum LogPiece {
-    /// A whole line.
+/// Message to the writer thread.
+enum WriterMessage {
+    /// A complete line.
     Line(Vec<u8>),
-    /// Everything before this is to be written; the sender is dropped once it is.
+    /// Asks that all earlier lines be written. The sender is dropped once they are.
     Flush(SyncSender<()>),
 }
 
-fn write_lines(waiting: &Receiver<LogPiece>) {
+fn write_lines(messages: &Receiver<WriterMessage>) {
     let mut output = io::stdout();
-    while let Ok(first) = waiting.recv() {
+    while let Ok(first) = messages.recv() {
         let (mut lines, mut flushes) = (Vec::new(), Vec::new());
-        // What waits is written at once, since each write costs a system call.
-        for piece in std::iter::once(first).chain(waiting.try_iter()) {
-            match piece {
-                LogPiece::Line(line) => lines.extend(line),
-                LogPiece::Flush(done) => flushes.push(done),
+        // All queued lines are written together, since each write costs a system call.
+        for message in std::iter::once(first).chain(messages.try_iter()) {
+            match message {
+                WriterMessage::Line(line) => lines.extend(line),
+                WriterMessage::Flush(done) => flushes.push(done),
             }
         }
-        // Nobody is left to tell when standard output is closed.
+        // If standard output is closed, the error cannot be reported anywhere.
         let _ = io::Write::write_all(&mut output, &lines);
         let _ = io::Write::flush(&mut output);
     }
 }
 
-/// Longest time that the end of the process waits for its last lines.
-const FLUSH_TIME: Duration = Duration::from_millis(200);
+/// Longest time that a process that ends waits for its last lines to be written.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Collects the pieces of a line and hands whole lines to the writing thread.
+/// Collects the parts of a line and sends complete lines to the writer thread.
 struct BoundedWriter {
-    lines: SyncSender<LogPiece>,
+    sender: SyncSender<WriterMessage>,
     line: Vec<u8>,
     dropped: u64,
 }
@@ -79,7 +79,7 @@
             if self.dropped > 0 {
                 line.extend_from_slice(format!("log lines dropped={}\n", self.dropped).as_bytes());
             }
-            match self.lines.try_send(LogPiece::Line(line)) {
+            match self.sender.try_send(WriterMessage::Line(line)) {
                 Ok(()) => self.dropped = 0,
                 Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => self.dropped += 1,
             }
@@ -87,18 +87,18 @@
         Ok(bytes.len())
     }
 
-    /// Waits, for a short time only, until everything is written; called once, at the end.
+    /// Waits until all lines are written, for at most `FLUSH_TIMEOUT`. Called once, when the process ends.
     fn flush(&mut self) -> io::Result<()> {
         let (done, written) = sync_channel(0);
-        if self.lines.try_send(LogPiece::Flush(done)).is_ok() {
-            // Ends with an error as soon as the thread drops the other side.
-            let _ = written.recv_timeout(FLUSH_TIME);
+        if self.sender.try_send(WriterMessage::Flush(done)).is_ok() {
+            // Returns an error as soon as the writer thread drops the sender, which means that all is written.
+            let _ = written.recv_timeout(FLUSH_TIMEOUT);
         }
         Ok(())
     }
 }
 
-/// Writes an event with its fields as `key=value`.
+/// Writes an event followed by its fields as `key=value`.
 pub fn write(event: LogEvent, fields: &[(&str, &dyn Display)]) {
     let level = match event.severity {
         Severity::Error => log::Level::Error,
--- a/crates/trestlerackd/src/process/member_loop.rs
+++ b/crates/trestlerackd/src/process/member_loop.rs
@@ -1,4 +1,4 @@
-//! Probes peers and reads the platform's list.
+//! Probes peers and reads the platform's membership list.
 
 use super::logs;
 use crate::connection::links;
@@ -12,14 +12,14 @@
 use trestlerack::version::FollowEvent;
 use trestlerack::{Name, event};
 
-/// Part of the interval between two reads of the platform's list for each node.
+/// Interval between two reads of the membership list, per node in the cluster.
 const LIST_INTERVAL_PER_NODE: Duration = Duration::from_millis(80);
 
-/// Shortest interval between two reads of the platform's list.
-const SHORTEST_LIST_INTERVAL: Duration = Duration::from_secs(2);
+/// Shortest interval between two reads of the membership list.
+const MIN_LIST_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Part of the heartbeat interval after which a probe counts as unanswered.
-const PROBE_TIMEOUT_PARTS: u32 = 1;
+/// Heartbeat intervals after which a probe counts as unanswered.
+const PROBE_TIMEOUT_INTERVALS: u32 = 1;
 
 /// Probes one peer per interval.
 pub async fn probe_peers(node: Arc<Node>) {
@@ -28,17 +28,18 @@
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        tell(&node, MembershipEvent::Tick);
+        apply_event(&node, MembershipEvent::Tick);
         node.refresh_ownership();
     }
 }
 
-/// Reads the platform's list; what it says is merged and never trusted over a peer's own word.
-pub async fn read_list(node: Arc<Node>) {
+/// Reads the membership list and merges it. What a peer reports about itself takes precedence over the
+/// list.
+pub async fn follow_member_list(node: Arc<Node>) {
     loop {
         match node.list.list().await {
             Ok(list) => {
-                tell(&node, MembershipEvent::Listed(list.nodes));
+                apply_event(&node, MembershipEvent::Listed(list.nodes));
                 node.desks.listed_leaving(node.now(), &list.leaving_backends);
                 node.refresh_ownership();
             }
@@ -49,16 +50,16 @@
     }
 }
 
-/// Returns how long to wait before the list is read again. All nodes together read it at one rate,
-/// whatever their number, and what one of them reads the others hear as news; the bytes that a node
-/// reads per second then do not grow with the number of nodes, although the list does.
+/// Returns how long to wait before the list is read again. The interval grows with the number of nodes,
+/// so that all nodes together read the list at a constant rate; what one of them reads, the others learn
+/// by gossip. The list grows with the number of nodes, but the bytes that a node reads per second do not.
 fn list_interval(nodes: usize) -> Duration {
     let interval = LIST_INTERVAL_PER_NODE * u32::try_from(nodes).unwrap_or(u32::MAX);
-    interval.max(SHORTEST_LIST_INTERVAL)
+    interval.max(MIN_LIST_INTERVAL)
 }
 
-/// Feeds an event to the membership and carries out what it asks for.
-pub fn tell(node: &Arc<Node>, event: MembershipEvent) {
+/// Passes an event to the membership state machine and carries out the actions that it returns.
+pub fn apply_event(node: &Arc<Node>, event: MembershipEvent) {
     for action in decide(node, event) {
         match action {
             MembershipAction::Probe(peer) => {
@@ -86,7 +87,7 @@
 }
 
 async fn probe(node: Arc<Node>, peer: PeerInfo) {
-    let timeout = Duration::from_millis(node.settings.heartbeat_ms) * PROBE_TIMEOUT_PARTS;
+    let timeout = Duration::from_millis(node.settings.heartbeat_ms) * PROBE_TIMEOUT_INTERVALS;
     let heartbeat = node.membership.lock().unwrap().heartbeat();
     let generation = node.config.current().generation;
     let drain_updates = node.desks.take_news();
@@ -95,37 +96,37 @@
     match links::request(&node, &peer, build, timeout).await {
         Ok(LinkFrame::ProbeAnswer { heartbeat, generation, drain_updates, crash_reports, .. }) => {
             content_gate::hear_strikes(&node, &crash_reports);
-            hear(&node, heartbeat, generation, drain_updates);
+            merge_probe(&node, heartbeat, generation, drain_updates);
         }
-        Ok(_) | Err(_) => tell(&node, MembershipEvent::Unanswered(peer.name)),
+        Ok(_) | Err(_) => apply_event(&node, MembershipEvent::Unanswered(peer.name)),
     }
 }
 
-/// Probes some peers at once, for news that cannot wait for the next interval.
-pub fn probe_some(node: &Arc<Node>, gossip: &GossipSettings) {
+/// Probes some peers now, to spread an update that cannot wait for the next interval.
+pub fn probe_gossip_peers(node: &Arc<Node>, gossip: &GossipSettings) {
     let alive: Vec<PeerInfo> = {
         let membership = node.membership.lock().unwrap();
         let alive = membership.peers().filter(|update| update.liveness == Liveness::Alive);
         alive.map(|update| update.peer).filter(|peer| peer.name != *node.name()).collect()
     };
     let names: Vec<Name> = alive.iter().map(|peer| peer.name.clone()).collect();
-    let told = gossip.pick_push_peers(&names, &mut rand::rng());
-    for peer in alive.into_iter().filter(|peer| told.contains(&peer.name)) {
+    let chosen = gossip.pick_push_peers(&names, &mut rand::rng());
+    for peer in alive.into_iter().filter(|peer| chosen.contains(&peer.name)) {
         tokio::spawn(probe(node.clone(), peer));
     }
 }
 
-/// Takes in what a peer said in a probe or in its answer.
-pub fn hear(
+/// Merges what a peer sent in a probe or in its response to one.
+pub fn merge_probe(
     node: &Arc<Node>,
     heartbeat: Heartbeat,
     generation: u64,
     drain_updates: Vec<trestlerack::connection::DrainUpdate>,
 ) {
     let sender = heartbeat.sender.peer.clone();
-    tell(node, MembershipEvent::Received(heartbeat));
-    for news in drain_updates {
-        node.desks.hear_news(node.now(), news);
+    apply_event(node, MembershipEvent::Received(heartbeat));
+    for update in drain_updates {
+        node.desks.hear_news(node.now(), update);
     }
     let action = node.config.handle(FollowEvent::Announced { generation });
     if let Some(action) = action {
--- a/crates/trestlerackd/src/process/mod.rs
+++ b/crates/trestlerackd/src/process/mod.rs
@@ -1,6 +1,7 @@
-//! What lives as long as the process, and the loops that drive it.
+//! State that lives as long as the process, and the background loops that use it.
 
 pub mod clock;
+pub mod groups_in_progress;
 pub mod keys;
 pub mod logs;
 pub mod member_loop;
@@ -12,7 +13,6 @@
 pub mod stop;
 pub mod telemetry;
 pub mod tracing;
-pub mod wanted;
 
 use crate::connection::{accept, link_server};
 use crate::node::Node;
@@ -23,7 +23,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 use trestlerack::event;
 
-/// Serves until a signal asks for a planned stop, and then stops as planned.
+/// Serves until SIGTERM or SIGINT asks for a planned stop, and then carries it out.
 pub async fn run(node: Arc<Node>) -> anyhow::Result<()> {
     let listener = bind(&node.settings.listen).await?;
     let link_listener = bind(&node.settings.link_listen).await?;
@@ -38,7 +38,7 @@
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    stop::stop_as_planned(&node).await;
+    stop::run_planned_stop(&node).await;
     for task in loops {
         task.abort();
     }
@@ -51,13 +51,13 @@
 fn start_loops(node: &Arc<Node>) -> Vec<tokio::task::JoinHandle<()>> {
     vec![
         tokio::spawn(member_loop::probe_peers(node.clone())),
-        tokio::spawn(member_loop::read_list(node.clone())),
+        tokio::spawn(member_loop::follow_member_list(node.clone())),
         tokio::spawn(config_loop::follow_table(node.clone())),
         tokio::spawn(rollout_loop::watch_leases(node.clone())),
         tokio::spawn(rollout_loop::drive_engines(node.clone())),
         tokio::spawn(step_loop::watch_steps(node.clone())),
         tokio::spawn(spool::drain(node.clone())),
-        tokio::spawn(clock::watch_suspensions(logs::write_suspension)),
+        tokio::spawn(clock::watch_suspensions(logs::log_suspension)),
     ]
 }
 
@@ -65,8 +65,8 @@
     TcpListener::bind(address).await.with_context(|| format!("cannot listen on {address}"))
 }
 
-/// Writes the bound addresses for whoever started the daemon on port 0. The file appears whole,
-/// because it is renamed into place.
+/// Writes the bound addresses to a file, for a parent process that started the daemon on port 0. The
+/// file is renamed into place, so that a reader never sees part of it.
 fn write_addresses(node: &Node, listener: &TcpListener, link: &TcpListener) -> anyhow::Result<()> {
     let (listen, link) = (listener.local_addr()?, link.local_addr()?);
     node.membership.lock().unwrap().set_link(link.to_string().into());
@@ -75,7 +75,7 @@
         return Ok(());
     }
     let content = serde_json::json!({ "listen": listen.to_string(), "link": link.to_string() });
-    let draft = format!("{file}.draft");
-    std::fs::write(&draft, content.to_string()).with_context(|| format!("cannot write {draft}"))?;
-    std::fs::rename(&draft, file).with_context(|| format!("cannot write {file}"))
+    let temporary_file = format!("{file}.draft");
+    std::fs::write(&temporary_file, content.to_string()).with_context(|| format!("cannot write {temporary_file}"))?;
+    std::fs::rename(&temporary_file, file).with_context(|| format!("cannot write {file}"))
 }
--- a/crates/trestlerackd/src/process/platform.rs
+++ b/crates/trestlerackd/src/process/platform.rs
@@ -1,6 +1,6 @@
-//! The platform's table service, object store and membership list, met over HTTP.
+//! The platform's table service, object store and membership list, accessed over HTTP.
 
-use crate::connection::http_client::{HttpAnswer, HttpClient};
+use crate::connection::http_client::{HttpClient, HttpResponse};
 use async_trait::async_trait;
 use hyper::{Method, StatusCode};
 use serde_json::Value;
@@ -10,7 +10,7 @@
 };
 use trestlerack::{Failure, Name, Verdict};
 
-/// Time after which a call of the platform counts as lost.
+/// Time after which a call to the platform counts as lost.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The table service over HTTP.
@@ -30,20 +30,20 @@
 impl TableStore for HttpTableStore {
     async fn read(&self, key: &str) -> Result<Option<TableRow>, StoreError> {
         let body = serde_json::json!({ "key": key });
-        let answer = self.http.post_json(&self.address, "/table/read", &body, CALL_TIMEOUT).await;
-        decode(answer)
+        let response = self.http.post_json(&self.address, "/table/read", &body, CALL_TIMEOUT).await;
+        decode(response)
     }
 
     async fn scan(&self, prefix: &str, after: &str, limit: usize) -> Result<Vec<TableRow>, StoreError> {
         let body = serde_json::json!({ "prefix": prefix, "after": after, "limit": limit });
-        let answer = self.http.post_json(&self.address, "/table/scan", &body, CALL_TIMEOUT).await;
-        decode(answer)
+        let response = self.http.post_json(&self.address, "/table/scan", &body, CALL_TIMEOUT).await;
+        decode(response)
     }
 
     async fn commit(&self, transaction: TableTransaction) -> Result<CommitOutcome, StoreError> {
         let body = serde_json::to_value(&transaction).map_err(|_| StoreError::Unavailable)?;
-        let answer = self.http.post_json(&self.address, "/table/commit", &body, CALL_TIMEOUT).await;
-        decode(answer)
+        let response = self.http.post_json(&self.address, "/table/commit", &body, CALL_TIMEOUT).await;
+        decode(response)
     }
 }
 
@@ -64,16 +64,16 @@
 impl ObjectStore for HttpObjectStore {
     async fn put(&self, key: &str, content: Vec<u8>) -> Result<(), StoreError> {
         let path = format!("/objects/{key}");
-        let answer = self.http.send_bytes(Method::PUT, &self.address, &path, content, CALL_TIMEOUT).await;
-        accepted(answer).map(|_| ())
+        let response = self.http.send_bytes(Method::PUT, &self.address, &path, content, CALL_TIMEOUT).await;
+        check_response(response).map(|_| ())
     }
 
     async fn get(&self, key: &str) -> Result<Option<Vec<u8>>, StoreError> {
         let path = format!("/objects/{key}");
-        let answer = self.http.send_bytes(Method::GET, &self.address, &path, Vec::new(), CALL_TIMEOUT).await;
-        match &answer {
-            Ok(answer) if answer.status == StatusCode::NOT_FOUND => Ok(None),
-            _ => accepted(answer).map(|answer| Some(answer.body.to_vec())),
+        let response = self.http.send_bytes(Method::GET, &self.address, &path, Vec::new(), CALL_TIMEOUT).await;
+        match &response {
+            Ok(response) if response.status == StatusCode::NOT_FOUND => Ok(None),
+            _ => check_response(response).map(|response| Some(response.body.to_vec())),
         }
     }
 }
@@ -94,25 +94,25 @@
 #[async_trait]
 impl MembershipSource for HttpMembershipSource {
     async fn list(&self) -> Result<MembershipList, StoreError> {
-        let answer = self.http.send_bytes(Method::GET, &self.address, "/members", Vec::new(), CALL_TIMEOUT).await;
-        decode(answer)
+        let response = self.http.send_bytes(Method::GET, &self.address, "/members", Vec::new(), CALL_TIMEOUT).await;
+        decode(response)
     }
 }
 
-/// Returns the answer if the store acted on the call. A refusal was not applied; a call without
-/// an answer may have been.
-fn accepted(answer: Result<HttpAnswer, Failure>) -> Result<HttpAnswer, StoreError> {
-    match answer {
-        Ok(answer) if answer.status.is_success() => Ok(answer),
-        Ok(answer) if answer.status == StatusCode::SERVICE_UNAVAILABLE => Err(StoreError::Unavailable),
+/// Returns the response if its status is a success. A call that the store rejected as unavailable was
+/// not applied; after any other failure it may have been.
+fn check_response(response: Result<HttpResponse, Failure>) -> Result<HttpResponse, StoreError> {
+    match response {
+        Ok(response) if response.status.is_success() => Ok(response),
+        Ok(response) if response.status == StatusCode::SERVICE_UNAVAILABLE => Err(StoreError::Unavailable),
         Ok(_) => Err(StoreError::Unknown),
         Err(failure) if failure.verdict == Verdict::NotRun => Err(StoreError::Unavailable),
         Err(_) => Err(StoreError::Unknown),
     }
 }
 
-fn decode<T: serde::de::DeserializeOwned>(answer: Result<HttpAnswer, Failure>) -> Result<T, StoreError> {
-    let answer = accepted(answer)?;
-    let value: Value = serde_json::from_slice(&answer.body).map_err(|_| StoreError::Unknown)?;
+fn decode<T: serde::de::DeserializeOwned>(response: Result<HttpResponse, Failure>) -> Result<T, StoreError> {
+    let response = check_response(response)?;
+    let value: Value = serde_json::from_slice(&response.body).map_err(|_| StoreError::Unknown)?;
     serde_json::from_value(value).map_err(|_| StoreError::Unknown)
 }
--- a/crates/trestlerackd/src/process/recorder.rs
+++ b/crates/trestlerackd/src/process/recorder.rs
@@ -1,4 +1,4 @@
-//! Records what decision makers were given and answered, for `trestlerack replay`.
+//! Records the events and actions of state machines, for `trestlerack replay`.
 
 use serde::Serialize;
 use std::collections::HashMap;
@@ -9,26 +9,27 @@
 use trestlerack::Timestamp;
 use trestlerack::trace::{TraceHead, TraceLine};
 
-/// Writes a trace file per decision maker, or nothing where the settings name no folder.
+/// Writes one trace file per state machine, or nothing if the settings name no directory.
 pub struct TraceRecorder {
     dir: Option<PathBuf>,
     files: Mutex<HashMap<String, File>>,
 }
 
 impl TraceRecorder {
-    /// Builds a recorder that writes into `dir`, or none if it is empty.
+    /// Builds a recorder that writes into `dir`, or writes nothing if `dir` is empty.
     pub fn new(dir: &str) -> Self {
         let dir = (!dir.is_empty()).then(|| PathBuf::from(dir));
         Self { dir, files: Mutex::default() }
     }
 
-    /// Returns an event in the form of a trace, before its decision maker consumes it.
+    /// Encodes an event for the trace, before its state machine consumes it. Returns `None` if nothing is
+    /// recorded.
     pub fn capture(&self, event: &impl Serialize) -> Option<serde_json::Value> {
         self.dir.as_ref()?;
         serde_json::to_value(event).ok()
     }
 
-    /// Records the actions that followed a captured event of the decision maker `name`.
+    /// Records the actions with which the state machine `name` responded to a captured event.
     pub fn record(
         &self,
         name: &str,
@@ -49,7 +50,7 @@
     }
 }
 
-/// A line that cannot be written is missing from the trace, which the replay then shows.
+/// Writes one line. A line that cannot be written is missing from the trace, and the replay reports that.
 fn write_line(mut file: &File, line: &impl Serialize) {
     if let Ok(text) = serde_json::to_string(line) {
         let _ = writeln!(file, "{text}");
--- a/crates/trestlerackd/src/process/step_loop.rs
+++ b/crates/trestlerackd/src/process/step_loop.rs
@@ -122,7 +122,7 @@
 
 /// Lets a group that was too old be asked for again at once.
 fn forget_removed(node: &Node, row: &StepRow, group: &Name) {
-    node.telemetry.remade.add(1, &[opentelemetry::KeyValue::new("cause", "too-old")]);
+    node.telemetry.regenerated.add(1, &[opentelemetry::KeyValue::new("cause", "too-old")]);
     logs::write(event::SAMPLE_TOO_OLD, &[("campaign", &row.campaign), ("step", &row.step), ("group", group)]);
     let key = group_key(&row.campaign, row.step, group);
     node.steps.asked.lock().unwrap().remove(&key);
--- a/crates/trestlerackd/src/process/stop.rs
+++ b/crates/trestlerackd/src/process/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop: nothing new comes in, and everything in progress ends by itself.
+//! A planned stop: new connections are refused, and work in progress is completed.
 
 use super::logs;
 use crate::node::Node;
@@ -10,16 +10,16 @@
 use trestlerack::event;
 use trestlerack::process::MembershipEvent;
 
-/// Time between saying "not ready" and refusing connections, so that the balancer has noticed.
+/// Time between reporting "not ready" and refusing connections, in which load balancers notice it.
 const NOT_READY_TIME: Duration = Duration::from_millis(500);
 
-/// Time between two looks at the work in progress.
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which the work in progress is checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time in which peers hear that this node leaves.
-const FAREWELL_TIME: Duration = Duration::from_millis(500);
+/// Time for the peers to learn that this node leaves.
+const LEAVE_PROPAGATION_TIME: Duration = Duration::from_millis(500);
 
-/// How far a planned stop is, and what is in progress.
+/// Progress of a planned stop, and the number of requests and other work in progress.
 pub struct StopState {
     stopping: AtomicBool,
     closed: watch::Sender<bool>,
@@ -39,7 +39,7 @@
 }
 
 impl WorkGuard {
-    /// Counts work in.
+    /// Counts one more piece of work.
     pub fn new(node: &Arc<Node>) -> Self {
         node.stop.in_progress.fetch_add(1, Ordering::SeqCst);
         Self { node: node.clone() }
@@ -58,34 +58,35 @@
         self.stopping.load(Ordering::SeqCst)
     }
 
-    /// Returns a receiver that turns true when no more connections are taken.
+    /// Returns a receiver that becomes true when no more connections are accepted.
     pub fn closed(&self) -> watch::Receiver<bool> {
         self.closed.subscribe()
     }
 
-    /// Returns how much work is in progress.
+    /// Returns the number of pieces of work in progress.
     pub fn in_progress(&self) -> usize {
         self.in_progress.load(Ordering::SeqCst)
     }
 }
 
-/// Stops as planned: not ready, then no new connections, then the end of all work in progress.
-pub async fn stop_as_planned(node: &Arc<Node>) {
+/// Carries out a planned stop: reports not ready, then refuses new connections, then waits for the work
+/// in progress until the stop limit.
+pub async fn run_planned_stop(node: &Arc<Node>) {
     logs::write(event::STOP_BEGUN, &[("in_progress", &node.stop.in_progress())]);
     node.stop.stopping.store(true, Ordering::SeqCst);
-    super::member_loop::tell(node, MembershipEvent::Leave);
+    super::member_loop::apply_event(node, MembershipEvent::Leave);
     node.refresh_ownership();
     clock::sleep(NOT_READY_TIME).await;
     node.stop.closed.send_replace(true);
     let deadline = node.now() + Duration::from_millis(node.settings.stop_limit_ms);
     while has_work(node) && node.now() < deadline {
-        clock::sleep(LOOK_INTERVAL).await;
+        clock::sleep(CHECK_INTERVAL).await;
     }
     super::rollout_loop::release_leases(node).await;
-    clock::sleep(FAREWELL_TIME).await;
-    let left = node.stop.in_progress() + node.spool.len();
-    if left > 0 {
-        logs::write(event::STOP_OVERRUN, &[("left", &left)]);
+    clock::sleep(LEAVE_PROPAGATION_TIME).await;
+    let unfinished = node.stop.in_progress() + node.spool.len();
+    if unfinished > 0 {
+        logs::write(event::STOP_OVERRUN, &[("left", &unfinished)]);
     } else {
         logs::write(event::STOP_ENDED, &[("node", node.name())]);
     }
--- a/crates/trestlerackd/src/process/telemetry.rs
+++ b/crates/trestlerackd/src/process/telemetry.rs
@@ -1,4 +1,4 @@
-//! Metrics for `/metrics`, and the spans of a daemon.
+//! Metrics for `/metrics`, and the tracing spans of a daemon.
 
 use super::tracing::{HopSpan, HopTracer};
 use opentelemetry::metrics::{Counter, Histogram, MeterProvider};
@@ -16,7 +16,7 @@
     tracer: HopTracer,
     /// Requests by route and status.
     pub requests: Counter<u64>,
-    /// Refusals by reason.
+    /// Rejected requests by reason.
     pub refusals: Counter<u64>,
     /// Calls to engines by outcome.
     pub engine_calls: Counter<u64>,
@@ -24,20 +24,20 @@
     pub tokens: Counter<u64>,
     /// Time spent in the queue of an engine, in milliseconds.
     pub queue_time: Histogram<u64>,
-    /// Failed calls of the table service.
+    /// Failed calls to the table service.
     pub store_failures: Counter<u64>,
     /// Samples finished.
     pub samples: Counter<u64>,
-    /// Samples that were made again, by cause.
-    pub remade: Counter<u64>,
-    /// Frames and bytes sent on node links.
+    /// Samples that were generated again, by cause.
+    pub regenerated: Counter<u64>,
+    /// Bytes sent on links to peers.
     pub link_bytes: Counter<u64>,
-    /// Groups in the spool, counted in and out.
+    /// Groups put into the spool.
     pub spooled: Counter<u64>,
 }
 
 impl Telemetry {
-    /// Starts metrics, and spans with an exporter if the settings name a collector.
+    /// Starts metrics and spans. Spans are exported if the settings name a collector.
     pub fn start(settings: &DaemonSettings) -> anyhow::Result<Self> {
         let registry = prometheus::Registry::new();
         let exporter = opentelemetry_prometheus::exporter().with_registry(registry.clone()).build()?;
@@ -51,7 +51,7 @@
             queue_time: meter.u64_histogram("trestlerack.queue.time.ms").build(),
             store_failures: meter.u64_counter("trestlerack.store.failures").build(),
             samples: meter.u64_counter("trestlerack.samples").build(),
-            remade: meter.u64_counter("trestlerack.samples.remade").build(),
+            regenerated: meter.u64_counter("trestlerack.samples.remade").build(),
             link_bytes: meter.u64_counter("trestlerack.link.bytes").build(),
             spooled: meter.u64_counter("trestlerack.spooled").build(),
             tracer: HopTracer::start(&settings.otlp_endpoint)?,
@@ -60,7 +60,7 @@
         })
     }
 
-    /// Returns the metrics page.
+    /// Returns the metrics in the Prometheus text format.
     pub fn page(&self) -> anyhow::Result<Vec<u8>> {
         let mut page = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut page)?;
@@ -68,14 +68,14 @@
     }
 
     /// Starts the span of a hop below the caller's trace context.
-    pub fn hop(&self, name: &'static str, kind: SpanKind, parent: Option<&str>) -> HopSpan {
-        self.tracer.hop(name, kind, parent)
+    pub fn start_span(&self, name: &'static str, kind: SpanKind, parent: Option<&str>) -> HopSpan {
+        self.tracer.start_span(name, kind, parent)
     }
 
-    /// Flushes what is not exported yet.
+    /// Exports the remaining spans and metrics.
     pub fn close(&self) {
         self.tracer.close();
-        // The process ends next; an exporter that cannot flush has nowhere to report to.
+        // The process ends next, so a failed export cannot be reported anywhere.
         let _ = self.meters.shutdown();
     }
 }
--- a/crates/trestlerackd/src/process/tracing.rs
+++ b/crates/trestlerackd/src/process/tracing.rs
@@ -1,4 +1,4 @@
-//! A span for each hop, with W3C trace context.
+//! One tracing span for each hop of a request, with W3C trace context.
 
 use opentelemetry::propagation::{Extractor, Injector, TextMapPropagator};
 use opentelemetry::trace::{SpanKind, TraceContextExt, Tracer, TracerProvider};
@@ -16,9 +16,9 @@
 /// Header that carries the trace context, as W3C names it.
 pub const TRACE_HEADER: &str = "traceparent";
 
-/// Starts the spans of a process.
+/// Creates the spans of a process.
 pub struct HopTracer {
-    spans: SdkTracerProvider,
+    provider: SdkTracerProvider,
     tracer: SdkTracer,
     propagator: TraceContextPropagator,
 }
@@ -27,12 +27,12 @@
     /// Builds a tracer that exports to the OTLP collector at `endpoint`, or nowhere if that is
     /// empty.
     pub fn start(endpoint: &str) -> anyhow::Result<Self> {
-        let spans = span_provider(endpoint)?;
-        Ok(Self { tracer: spans.tracer(SCOPE), propagator: TraceContextPropagator::new(), spans })
+        let provider = span_provider(endpoint)?;
+        Ok(Self { tracer: provider.tracer(SCOPE), propagator: TraceContextPropagator::new(), provider })
     }
 
     /// Starts the span of a hop below the caller's trace context.
-    pub fn hop(&self, name: &'static str, kind: SpanKind, parent: Option<&str>) -> HopSpan {
+    pub fn start_span(&self, name: &'static str, kind: SpanKind, parent: Option<&str>) -> HopSpan {
         let parent = parent.map_or_else(Context::new, |value| {
             self.propagator.extract_with_context(&Context::new(), &TraceHeader(value))
         });
@@ -44,10 +44,10 @@
         HopSpan { context, traceparent }
     }
 
-    /// Flushes what is not exported yet.
+    /// Exports the remaining spans.
     pub fn close(&self) {
-        // The process ends next; an exporter that cannot flush has nowhere to report to.
-        let _ = self.spans.shutdown();
+        // The process ends next, so a failed export cannot be reported anywhere.
+        let _ = self.provider.shutdown();
     }
 }
 
@@ -56,7 +56,7 @@
         return Ok(SdkTracerProvider::builder().build());
     }
     let exporter = opentelemetry_otlp::SpanExporter::builder().with_http().with_endpoint(endpoint).build()?;
-    // The exporter needs a runtime of tokio, and one of its own, so that a process of one thread can
+    // The exporter needs a tokio runtime. It gets a separate one, so that a single-threaded process can
     // wait for its last spans.
     let processor = BatchSpanProcessor::builder(exporter, TokioCurrentThread).build();
     Ok(SdkTracerProvider::builder().with_span_processor(processor).build())
@@ -65,7 +65,7 @@
 /// The span of one hop; it ends when it is dropped.
 pub struct HopSpan {
     context: Context,
-    /// Trace context to hand to the next hop.
+    /// Trace context to send to the next hop.
     pub traceparent: Option<Name>,
 }
 
--- a/crates/trestlerackd/src/request/answer.rs
+++ b/crates/trestlerackd/src/request/answer.rs
@@ -110,7 +110,7 @@
         if self.node.keys.is_operator(presented) {
             return Ok(Principal::Operator);
         }
-        let user = self.node.keys.caller(presented).map(Principal::User);
+        let user = self.node.keys.find_user(presented).map(Principal::User);
         user.ok_or_else(|| Failure::not_run(Reason::Unauthorized, "the key is not known"))
     }
 
@@ -169,7 +169,7 @@
     let headers = HeaderMap::take_from(state);
     let body = read_body(node, state, &headers).await?;
     let parent = headers.get("traceparent").and_then(|value| value.to_str().ok());
-    let span = node.telemetry.hop(route, SpanKind::Server, parent);
+    let span = node.telemetry.start_span(route, SpanKind::Server, parent);
     Ok(ApiCall { node: node.clone(), method, uri, headers, body, span, work })
 }
 
--- a/crates/trestlerackd/src/request/call_router.rs
+++ b/crates/trestlerackd/src/request/call_router.rs
@@ -168,7 +168,7 @@
 /// Runs a call on an engine that this node owns and sends the parts of its answer.
 pub async fn run_here(node: Arc<Node>, spec: CallSpec, sender: mpsc::Sender<CallEvent>) {
     let _work = WorkGuard::new(&node);
-    let span = node.telemetry.hop("owner", SpanKind::Server, spec.traceparent.as_deref());
+    let span = node.telemetry.start_span("owner", SpanKind::Server, spec.traceparent.as_deref());
     let arrived = node.now();
     let deadline = arrived + Duration::from_millis(spec.deadline_ms);
     let id = node.desks.next_id();
--- a/crates/trestlerackd/src/request/content_gate.rs
+++ b/crates/trestlerackd/src/request/content_gate.rs
@@ -104,7 +104,7 @@
     let end = hash_parts(&[send.backend, &(SystemClock::unix_millis() / SAME_END_MS).to_string()]);
     let is_news = node.gate.book().record_crash_by_start(node.now(), send.content, end, is_trial).is_some();
     if is_news {
-        member_loop::probe_some(node, &GossipSettings::default());
+        member_loop::probe_gossip_peers(node, &GossipSettings::default());
     }
     let ended = node.gate.book().crash_count(send.content);
     let fields: [(&str, &dyn std::fmt::Display); 5] = [
@@ -145,6 +145,6 @@
     let news = notes.iter().filter(|note| book.merge(now, note)).count();
     drop(book);
     if news > 0 {
-        member_loop::probe_some(node, &GossipSettings::default());
+        member_loop::probe_gossip_peers(node, &GossipSettings::default());
     }
 }
--- a/crates/trestlerackd/src/request/engine_client.rs
+++ b/crates/trestlerackd/src/request/engine_client.rs
@@ -1,6 +1,6 @@
 //! Model engines, met by the completions protocol with server-sent events.
 
-use crate::connection::http_client::{HttpAnswer, HttpClient, read_whole};
+use crate::connection::http_client::{HttpClient, HttpResponse, read_whole};
 use crate::process::clock;
 use async_trait::async_trait;
 use bytes::Bytes;
@@ -163,12 +163,12 @@
 }
 
 /// An engine that refuses with an explicit status did not run the call.
-fn refusal(answer: HttpAnswer) -> Failure {
+fn refusal(answer: HttpResponse) -> Failure {
     let detail = String::from_utf8_lossy(&answer.body).into_owned();
     Failure::not_run(Reason::BackendFailed, format!("the engine refused with {}: {detail}", answer.status))
 }
 
-fn decode_status(answer: HttpAnswer) -> Result<EngineStatus, Failure> {
+fn decode_status(answer: HttpResponse) -> Result<EngineStatus, Failure> {
     if !answer.status.is_success() {
         return Err(refusal(answer));
     }
--- a/crates/trestlerackd/src/request/group_runner.rs
+++ b/crates/trestlerackd/src/request/group_runner.rs
@@ -45,12 +45,12 @@
     if node.stop.is_stopping() || !node.spool.has_room() {
         return;
     }
-    let Some(key) = node.wanted.begin(&wanted) else { return };
+    let Some(key) = node.groups_in_progress.begin(&wanted) else { return };
     let node = node.clone();
     tokio::spawn(async move {
         let _work = WorkGuard::new(&node);
         run_group(&node, &wanted).await;
-        node.wanted.end(&key);
+        node.groups_in_progress.end(&key);
     });
 }
 
@@ -202,7 +202,7 @@
             GroupEvent::Finished { index, attempt }
         }
         Err(failure) => {
-            node.telemetry.remade.add(1, &[opentelemetry::KeyValue::new("cause", failure.reason.as_str())]);
+            node.telemetry.regenerated.add(1, &[opentelemetry::KeyValue::new("cause", failure.reason.as_str())]);
             logs::write(event::CALL_BROKEN, &[("sample", &index), ("attempt", &attempt), ("cause", &failure)]);
             GroupEvent::Failed { index, attempt }
         }
@@ -242,7 +242,7 @@
     wanted: &GroupRequest,
     attempt: &SampleAttempt,
 ) -> Result<Sample, Failure> {
-    let span = node.telemetry.hop("sample", SpanKind::Internal, None);
+    let span = node.telemetry.start_span("sample", SpanKind::Internal, None);
     let id = sample_id(wanted, attempt.index);
     span.set("sample", id.to_string());
     let first_unix = node.clock.unix_seconds();
--- a/crates/trestlerackd/src/request/operators.rs
+++ b/crates/trestlerackd/src/request/operators.rs
@@ -69,7 +69,7 @@
         generation: Some(node.config.current().generation),
         // The request that asks is in progress too and is not counted.
         in_progress: Some(node.stop.in_progress().saturating_sub(1)),
-        groups: Some(node.wanted.len()),
+        groups: Some(node.groups_in_progress.len()),
         spooled: Some(node.spool.len()),
         links: Some(node.links.len()),
     };
--- a/crates/trestlerackd/src/request/plain.rs
+++ b/crates/trestlerackd/src/request/plain.rs
@@ -2,7 +2,7 @@
 
 use super::answer::{ApiCall, serve};
 use super::content_gate::{self, GuardedSend};
-use crate::connection::http_client::{HttpAnswer, read_whole};
+use crate::connection::http_client::{HttpResponse, read_whole};
 use crate::node::Node;
 use crate::process::clock;
 use crate::process::logs;
@@ -83,7 +83,7 @@
 
 /// Sends a call that must not be repeated in a task of its own, which goes on when the caller goes
 /// away: the caller's next try then meets the recorded answer and not a claim that was never ended.
-async fn send_detached(call: &ApiCall, plain: PlainCall, backends: Vec<Backend>) -> Result<HttpAnswer, Failure> {
+async fn send_detached(call: &ApiCall, plain: PlainCall, backends: Vec<Backend>) -> Result<HttpResponse, Failure> {
     let node = call.node.clone();
     let work = WorkGuard::new(&node);
     let is_claimed = plain.key.is_some() && !backends[0].honours_keys;
@@ -123,7 +123,7 @@
 
 /// Sends a call that needs no claim: repeatable, without a key, or with a key that the service
 /// itself honours.
-async fn send(node: &Arc<Node>, call: &PlainCall, backends: &[Backend]) -> Result<HttpAnswer, Failure> {
+async fn send(node: &Arc<Node>, call: &PlainCall, backends: &[Backend]) -> Result<HttpResponse, Failure> {
     node.budget.lock().unwrap().earn(&call.user, &call.service);
     let policy = ResumePolicy { repeatable: call.repeatable, waits_for_engine: false };
     let mut tried = Vec::new();
@@ -153,7 +153,7 @@
     }
 }
 
-async fn send_once(node: &Arc<Node>, call: &PlainCall, backend: &Backend) -> Result<HttpAnswer, Failure> {
+async fn send_once(node: &Arc<Node>, call: &PlainCall, backend: &Backend) -> Result<HttpResponse, Failure> {
     let request = build_request(call, backend)?;
     let left = call.deadline.since(node.now());
     if left.is_zero() {
@@ -193,7 +193,7 @@
 
 /// Claims a keyed call in the table before it is sent, so that a retry through another node meets
 /// the claim.
-async fn send_claimed(node: &Arc<Node>, call: &PlainCall, backends: &[Backend]) -> Result<HttpAnswer, Failure> {
+async fn send_claimed(node: &Arc<Node>, call: &PlainCall, backends: &[Backend]) -> Result<HttpResponse, Failure> {
     let key = idempotency_row_key(&call.user, &call.service, call.key.as_deref().unwrap_or(""));
     let digest: Name =
         digest_hex(&[call.method.as_str().as_bytes(), b" ", call.target.as_bytes(), b"\n", &call.body].concat()).into();
@@ -208,9 +208,9 @@
     result
 }
 
-fn answer_without_sending(decision: IdempotencyDecision) -> Result<HttpAnswer, Failure> {
+fn answer_without_sending(decision: IdempotencyDecision) -> Result<HttpResponse, Failure> {
     match decision {
-        IdempotencyDecision::Replay { status, content_type, body } => Ok(HttpAnswer {
+        IdempotencyDecision::Replay { status, content_type, body } => Ok(HttpResponse {
             status: StatusCode::from_u16(status).unwrap_or(StatusCode::OK),
             content_type,
             body: Bytes::from(body),
@@ -223,7 +223,7 @@
     }
 }
 
-fn end_of_claim(result: &Result<HttpAnswer, Failure>) -> IdempotencyState {
+fn end_of_claim(result: &Result<HttpResponse, Failure>) -> IdempotencyState {
     match result {
         Ok(answer) if answer.body.len() <= MAX_RECORDED => IdempotencyState::Answered {
             status: answer.status.as_u16(),
@@ -235,7 +235,7 @@
     }
 }
 
-fn plain_response(answer: HttpAnswer) -> Response<Body> {
+fn plain_response(answer: HttpResponse) -> Response<Body> {
     let body = Full::new(answer.body).map_err(|never| match never {}).boxed_unsync();
     let mut response = Response::new(body);
     *response.status_mut() = answer.status;
