--- a/crates/trestlerackd/src/connection/accept.rs
+++ b/crates/trestlerackd/src/connection/accept.rs
@@ -1,4 +1,4 @@
-//! The accept loop for callers: limits, gotham and a graceful end.
+//! Accepts connections of callers, limits their number, and closes them in a planned stop.
 
 use crate::node::Node;
 use crate::request::routes;
@@ -14,26 +14,26 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, watch};
 
-/// Longest header of a request, in bytes.
-const MAX_HEADER: usize = 64 * 1024;
+/// Longest request header, in bytes.
+const MAX_HEADER_BYTES: usize = 64 * 1024;
 
-/// Hands the node to gotham's handlers.
+/// Makes the node available to gotham's handlers.
 #[derive(Clone)]
 pub struct NodeHandle(pub Arc<Node>);
 
 impl StateData for NodeHandle {}
 
-/// Accepts callers until the planned stop closes the node.
+/// Accepts connections until a planned stop closes the node.
 pub async fn serve(node: Arc<Node>, listener: TcpListener) {
-    let slots = Arc::new(Semaphore::new(node.settings.max_connections));
+    let connection_permits = Arc::new(Semaphore::new(node.settings.max_connections));
     let router = routes::router();
     let mut closed = node.stop.closed();
     loop {
-        let Ok(slot) = slots.clone().acquire_owned().await else { return };
+        let Ok(permit) = connection_permits.clone().acquire_owned().await else { return };
         tokio::select! {
             accepted = listener.accept() => {
                 if let Ok((stream, address)) = accepted {
-                    tokio::spawn(serve_caller(node.clone(), router.clone(), stream, address, slot));
+                    tokio::spawn(serve_caller(node.clone(), router.clone(), stream, address, permit));
                 }
             }
             () = wait_closed(&mut closed) => return,
@@ -51,9 +51,10 @@
     router: gotham::router::Router,
     stream: TcpStream,
     address: SocketAddr,
-    slot: OwnedSemaphorePermit,
+    permit: OwnedSemaphorePermit,
 ) {
-    // Streams are small frames; a socket that refuses this still works.
+    // Streamed responses are small frames, which Nagle's algorithm would delay. If the option cannot be
+    // set, the socket still works.
     let _ = stream.set_nodelay(true);
     let mut closed = node.stop.closed();
     let header_timeout = Duration::from_millis(node.settings.header_timeout_ms);
@@ -69,16 +70,16 @@
     let connection = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(header_timeout)
-        .max_buf_size(MAX_HEADER)
+        .max_buf_size(MAX_HEADER_BYTES)
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     tokio::select! {
-        // A caller that breaks its connection has nobody left to tell.
+        // A broken connection leaves nobody to whom the error could be reported.
         _ = connection.as_mut() => {}
         () = wait_closed(&mut closed) => {
             connection.as_mut().graceful_shutdown();
             let _ = connection.as_mut().await;
         }
     }
-    drop(slot);
+    drop(permit);
 }
--- a/crates/trestlerackd/src/connection/http_client.rs
+++ b/crates/trestlerackd/src/connection/http_client.rs
@@ -1,4 +1,4 @@
-//! HTTP towards back ends and the platform, with a verdict for every failure.
+//! HTTP client for backend servers and the platform. Every failure says whether the request may have run.
 
 use crate::process::clock;
 use bytes::Bytes;
@@ -13,20 +13,20 @@
 use trestlerack::verdict::Reason;
 use trestlerack::{Failure, Name};
 
-/// Idle connections kept per backend server.
-const MAX_IDLE: usize = 64;
+/// Idle connections kept for each backend server.
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
-/// Time to open a connection.
+/// Time limit for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest answer that is read whole, in bytes.
-const MAX_ANSWER: usize = 64 * 1024 * 1024;
+/// Longest response body that is read into memory, in bytes.
+const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
-/// A whole answer.
+/// A response whose whole body was read.
 pub struct HttpResponse {
     /// Status.
     pub status: StatusCode,
-    /// Content type, or an empty name.
+    /// Content type; empty if the response has none.
     pub content_type: Name,
     /// Body.
     pub body: Bytes,
@@ -44,25 +44,26 @@
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
-        let pooled = Client::builder(TokioExecutor::new()).pool_max_idle_per_host(MAX_IDLE).build(connector);
+        let pooled =
+            Client::builder(TokioExecutor::new()).pool_max_idle_per_host(MAX_IDLE_CONNECTIONS).build(connector);
         Self { pooled }
     }
 
-    /// Sends a request that may be repeated and returns the answer's head.
+    /// Sends a request that may be repeated and returns the response, its body unread.
     pub async fn send(&self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, Failure> {
         self.pooled.request(request).await.map_err(|error| {
             if error.is_connect() {
                 Failure::not_run(Reason::BackendFailed, "cannot connect to the backend server")
             } else {
-                broken(&error)
+                connection_failure(&error)
             }
         })
     }
 
     /// Sends a request that must not be repeated, once, on a connection of its own.
     ///
-    /// A pooled connection may turn out to be closed after the first bytes were written, and then
-    /// nobody can tell whether the request ran. On a fresh one, not-run can be told apart.
+    /// A pooled connection may turn out to be closed after the first bytes were written, and then it is
+    /// unknown whether the request ran. On a new connection, a failure to connect means that it did not.
     pub async fn send_once(&self, address: &str, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, Failure> {
         let not_run = |detail: &str| Failure::not_run(Reason::BackendFailed, detail);
         let connecting = clock::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
@@ -74,10 +75,10 @@
         let handshake = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
         let (mut sender, connection) = handshake.map_err(|_| not_run("cannot open the connection"))?;
         tokio::spawn(connection);
-        sender.send_request(request).await.map_err(|error| broken(&error))
+        sender.send_request(request).await.map_err(|error| connection_failure(&error))
     }
 
-    /// Sends bytes and returns the whole answer.
+    /// Sends bytes and returns the response with its body.
     pub async fn send_bytes(
         &self,
         method: Method,
@@ -92,14 +93,14 @@
             .header(header::CONTENT_TYPE, "application/json")
             .body(Full::new(Bytes::from(body)))
             .map_err(|_| Failure::not_run(Reason::BadRequest, "the address or path cannot be used"))?;
-        let exchange = async { read_whole(self.send(request).await?).await };
+        let exchange = async { read_response(self.send(request).await?).await };
         match clock::timeout(timeout, exchange).await {
-            Ok(answer) => answer,
-            Err(_) => Err(Failure::may_have_run(Reason::BackendFailed, "no answer in time")),
+            Ok(response) => response,
+            Err(_) => Err(Failure::may_have_run(Reason::BackendFailed, "no response within the time limit")),
         }
     }
 
-    /// Sends JSON and returns the whole answer.
+    /// Sends JSON and returns the response with its body.
     pub async fn post_json(
         &self,
         address: &str,
@@ -111,22 +112,22 @@
     }
 }
 
-/// Reads the whole body of an answer. A body that breaks off is never passed on as whole.
-pub async fn read_whole(response: Response<Incoming>) -> Result<HttpResponse, Failure> {
+/// Reads the whole body of a response. A body that is cut off is an error, and no part of it is returned.
+pub async fn read_response(response: Response<Incoming>) -> Result<HttpResponse, Failure> {
     let status = response.status();
     let content_type = response.headers().get(header::CONTENT_TYPE);
     let content_type = content_type.and_then(|value| value.to_str().ok()).unwrap_or("").into();
-    let body = Limited::new(response.into_body(), MAX_ANSWER).collect().await;
+    let body = Limited::new(response.into_body(), MAX_BODY_BYTES).collect().await;
     match body {
         Ok(body) => Ok(HttpResponse { status, content_type, body: body.to_bytes() }),
         Err(error) => {
-            let detail = format!("the answer broke off: {error}");
+            let detail = format!("cannot read the whole response: {error}");
             Err(Failure::may_have_run(Reason::BackendFailed, detail))
         }
     }
 }
 
-fn broken(error: &dyn std::error::Error) -> Failure {
+fn connection_failure(error: &dyn std::error::Error) -> Failure {
     let cause = error.source().map_or_else(|| error.to_string(), ToString::to_string);
-    Failure::may_have_run(Reason::BackendFailed, format!("the connection to the backend server broke: {cause}"))
+    Failure::may_have_run(Reason::BackendFailed, format!("the connection to the backend server failed: {cause}"))
 }
--- a/crates/trestlerackd/src/connection/link_server.rs
+++ b/crates/trestlerackd/src/connection/link_server.rs
@@ -1,4 +1,4 @@
-//! The side of a link that answers a peer.
+//! The server side of links: runs the requests of peers and responds to them.
 
 use super::links::{socket_config, write_frames};
 use crate::node::Node;
@@ -17,14 +17,13 @@
 use trestlerack::connection::{CallEvent, CallSpec, LinkFrame, NodeLoad};
 use trestlerack::{Name, event};
 
-/// Frames that wait to be sent to the peer. A peer that reads too slowly holds up its own calls
-/// and nobody else's.
+/// Frames queued for sending to a peer. A peer that reads too slowly delays its own calls and no others.
 const OUTBOX_FRAMES: usize = 1_024;
 
-/// Time for a peer to finish its handshake.
+/// Time limit for the handshake of a peer.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Serves peers for as long as the process lives.
+/// Serves peers until the process ends.
 pub async fn serve(node: Arc<Node>, listener: TcpListener) {
     loop {
         if let Ok((stream, _)) = listener.accept().await {
@@ -35,25 +34,25 @@
 
 async fn serve_peer(node: Arc<Node>, stream: TcpStream) {
     let remote = stream.peer_addr().map_or_else(|_| "unknown".to_owned(), |address| address.to_string());
-    // Without it small frames wait for acknowledgements; a socket that refuses it still works.
+    // Without this option small frames wait for acknowledgements. If it cannot be set, the socket still works.
     let _ = stream.set_nodelay(true);
-    let keys = node.clone();
+    let key_node = node.clone();
     #[allow(clippy::result_large_err, reason = "the library fixes the error type of this callback")]
     let check = move |request: &Request, response: Response| -> Result<Response, ErrorResponse> {
         let header = request.headers().get("authorization").and_then(|value| value.to_str().ok());
         let presented = header.and_then(|value| value.strip_prefix("Bearer ")).unwrap_or("");
-        if keys.keys.is_peer(presented) {
+        if key_node.keys.is_peer(presented) {
             return Ok(response);
         }
-        let mut refusal = ErrorResponse::new(None);
-        *refusal.status_mut() = hyper::StatusCode::UNAUTHORIZED;
-        Err(refusal)
+        let mut rejection = ErrorResponse::new(None);
+        *rejection.status_mut() = hyper::StatusCode::UNAUTHORIZED;
+        Err(rejection)
     };
     let handshake = tokio_tungstenite::accept_hdr_async_with_config(stream, check, Some(socket_config()));
     let socket = match clock::timeout(HANDSHAKE_TIMEOUT, handshake).await {
         Ok(Ok(socket)) => socket,
-        Ok(Err(error)) => return refuse(&remote, &error.to_string()),
-        Err(_) => return refuse(&remote, "the handshake took too long"),
+        Ok(Err(error)) => return log_rejection(&remote, &error.to_string()),
+        Err(_) => return log_rejection(&remote, "the handshake took too long"),
     };
     let (sink, mut stream) = socket.split();
     let (outbox, inbox) = mpsc::channel(OUTBOX_FRAMES);
@@ -65,14 +64,14 @@
             Ok(Message::Close(_)) => break,
             Ok(_) => continue,
             Err(error) => {
-                refuse(&remote, &error.to_string());
+                log_rejection(&remote, &error.to_string());
                 break;
             }
         };
         match ciborium::from_reader::<LinkFrame, _>(content.as_ref()) {
             Ok(frame) => session.clone().handle(&node, frame).await,
             Err(error) => {
-                refuse(&remote, &format!("not a frame: {error}"));
+                log_rejection(&remote, &format!("not a frame: {error}"));
                 break;
             }
         }
@@ -80,11 +79,11 @@
     session.cancel_all();
 }
 
-fn refuse(remote: &str, cause: &str) {
+fn log_rejection(remote: &str, cause: &str) {
     logs::write(event::LINK_REFUSED, &[("remote", &remote), ("cause", &cause)]);
 }
 
-/// One peer's connection and the calls that it runs here.
+/// Connection of one peer, and the peer's calls that run on this node.
 struct PeerSession {
     outbox: mpsc::Sender<LinkFrame>,
     calls: Mutex<HashMap<u64, tokio::task::AbortHandle>>,
@@ -98,33 +97,33 @@
             LinkFrame::Probe { id, heartbeat, generation, drain_updates, crash_reports } => {
                 content_gate::hear_strikes(node, &crash_reports);
                 member_loop::merge_probe(node, heartbeat, generation, drain_updates);
-                self.answer_probe(node, id).await;
+                self.respond_to_probe(node, id).await;
             }
             LinkFrame::ConfigFetch { after } => self.send_config(node, after).await,
-            LinkFrame::ConfigDeltas(deltas) => config_loop::take_deltas(node, deltas, None),
-            LinkFrame::ConfigSnapshot(snapshot) => config_loop::take_snapshot(node, snapshot),
-            LinkFrame::Target(target) => rollout_loop::accept_target(node, target),
-            LinkFrame::CheckCampaign { .. } => node.steps.nudge(),
-            LinkFrame::WeightsPublished { .. } => node.leases.nudge(),
-            LinkFrame::GroupRequest(wanted) => group_runner::begin(node, wanted),
+            LinkFrame::ConfigDeltas(deltas) => config_loop::apply_deltas(node, deltas, None),
+            LinkFrame::ConfigSnapshot(snapshot) => config_loop::apply_snapshot(node, snapshot),
+            LinkFrame::Target(target) => rollout_loop::apply_target(node, target),
+            LinkFrame::CheckCampaign { .. } => node.steps.wake(),
+            LinkFrame::WeightsPublished { .. } => node.leases.wake(),
+            LinkFrame::GroupRequest(request) => group_runner::begin(node, request),
             LinkFrame::Call { id, spec } => self.start_call(node, id, *spec),
             LinkFrame::Cancel { id } => self.cancel(id),
             LinkFrame::SpoolCopy { key, content } => {
-                let holder = self.peer.lock().unwrap().clone();
-                node.spool.keep_copy(&holder, &key, &content);
+                let owner = self.peer.lock().unwrap().clone();
+                node.spool.store_copy(&owner, &key, &content);
             }
             LinkFrame::ProbeAnswer { .. } | LinkFrame::CallPart { .. } => {}
         }
     }
 
-    async fn answer_probe(&self, node: &Arc<Node>, id: u64) {
+    async fn respond_to_probe(&self, node: &Arc<Node>, id: u64) {
         let heartbeat = node.membership.lock().unwrap().heartbeat();
         let generation = node.config.current().generation;
         let drain_updates = node.desks.take_news();
         let crash_reports = content_gate::probe_strikes(node);
-        let answer = LinkFrame::ProbeAnswer { id, heartbeat, generation, drain_updates, crash_reports };
-        // A closed link ends the session; there is nobody left to answer.
-        let _ = self.outbox.send(answer).await;
+        let response = LinkFrame::ProbeAnswer { id, heartbeat, generation, drain_updates, crash_reports };
+        // Sending fails only if the link is closed, and that ends the session.
+        let _ = self.outbox.send(response).await;
     }
 
     async fn send_config(&self, node: &Arc<Node>, after: u64) {
@@ -132,7 +131,7 @@
             Some(deltas) => LinkFrame::ConfigDeltas(deltas),
             None => LinkFrame::ConfigSnapshot(node.config.current().as_ref().clone()),
         };
-        // As above.
+        // Sending fails only if the link is closed, and that ends the session.
         let _ = self.outbox.send(frame).await;
     }
 
@@ -142,7 +141,7 @@
         let run = call_router::run_here(node.clone(), spec, sender);
         let session = self.clone();
         let node = node.clone();
-        // The task cannot take itself off the list before it is on it.
+        // The lock is held until the task is in the map, so that the task cannot remove itself before.
         let mut calls = self.calls.lock().unwrap();
         let task = tokio::spawn(async move {
             let relay = async {
@@ -162,7 +161,7 @@
 
     async fn send_part(&self, id: u64, sequence: u64, event: CallEvent, load: Option<NodeLoad>) {
         let part = LinkFrame::CallPart { id, sequence, event, load };
-        // A closed link ends the session, which aborts this call.
+        // Sending fails only if the link is closed. That ends the session, which aborts this call.
         let _ = self.outbox.send(part).await;
     }
 
--- a/crates/trestlerackd/src/connection/links.rs
+++ b/crates/trestlerackd/src/connection/links.rs
@@ -1,4 +1,4 @@
-//! Links to peers: one WebSocket per peer for what this node asks of it.
+//! Links to peers: one WebSocket per peer for the requests of this node.
 
 use crate::node::Node;
 use crate::process::clock;
@@ -20,46 +20,46 @@
 use trestlerack::{Failure, Name, event};
 
 /// Longest frame accepted from a peer, in bytes.
-pub const MAX_FRAME: usize = 16 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
 
-/// Frames that wait to be sent to one peer.
+/// Frames queued for sending to one peer.
 const OUTBOX_FRAMES: usize = 1_024;
 
-/// Parts of one answer that wait for their reader.
-const ANSWER_PARTS: usize = 1_024;
+/// Parts of one response queued for their reader.
+const MAX_QUEUED_PARTS: usize = 1_024;
 
-/// Parts of one answer that may come in ahead of a missing one.
-const REORDER_WINDOW: usize = 64;
+/// Parts of one response that may arrive ahead of a missing one.
+const REORDER_WINDOW_PARTS: usize = 64;
 
-/// Time to open a link.
+/// Time limit for opening a link.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Buffers of a link; small, because a node holds one for each peer.
-const LINK_BUFFER: usize = 4 * 1024;
+/// Read buffer of a link, in bytes. It is small because a node has one link to each peer.
+const LINK_BUFFER_BYTES: usize = 4 * 1024;
 
 /// Returns the WebSocket settings of a link.
 pub fn socket_config() -> WebSocketConfig {
     let mut config = WebSocketConfig::default();
-    config.max_message_size = Some(MAX_FRAME);
-    config.max_frame_size = Some(MAX_FRAME);
-    config.read_buffer_size = LINK_BUFFER;
+    config.max_message_size = Some(MAX_FRAME_BYTES);
+    config.max_frame_size = Some(MAX_FRAME_BYTES);
+    config.read_buffer_size = LINK_BUFFER_BYTES;
     config.write_buffer_size = 0;
     config
 }
 
-/// A received part of an answer and, with the first and the last, the load of the node that sent it.
-pub type AnswerPart = (CallEvent, Option<NodeLoad>);
+/// A received part of a response. The first and the last carry the load of the node that sent them.
+pub type CallPart = (CallEvent, Option<NodeLoad>);
 
-enum Pending {
+enum PendingResponse {
     Frame(oneshot::Sender<LinkFrame>),
-    Call { parts: mpsc::Sender<AnswerPart>, order: StreamReassembler<AnswerPart> },
+    Call { parts: mpsc::Sender<CallPart>, reassembler: StreamReassembler<CallPart> },
 }
 
 /// An open link to one peer.
 pub struct PeerLink {
     outbox: mpsc::Sender<LinkFrame>,
     ids: Mutex<CorrelationIds>,
-    pending: Mutex<HashMap<u64, Pending>>,
+    pending: Mutex<HashMap<u64, PendingResponse>>,
 }
 
 /// The links of this node by peer.
@@ -69,8 +69,8 @@
 }
 
 impl LinkTable {
-    /// Closes the link to a peer; whatever waits on it fails at once.
-    pub fn drop_link(&self, peer: &str) {
+    /// Closes the link to a peer. Requests that wait on it fail at once.
+    pub fn close_link(&self, peer: &str) {
         let link = self.links.lock().unwrap().remove(peer);
         if let Some(link) = link {
             link.fail_pending();
@@ -89,7 +89,7 @@
 }
 
 impl PeerLink {
-    /// Drops whoever waits for an answer; they see the channel close.
+    /// Drops all pending responses, so that the tasks that wait for them see their channels close.
     fn fail_pending(&self) {
         self.pending.lock().unwrap().clear();
     }
@@ -108,18 +108,18 @@
 
     fn deliver_frame(&self, id: u64, frame: LinkFrame) {
         let pending = self.pending.lock().unwrap().remove(&id);
-        if let Some(Pending::Frame(sender)) = pending {
-            // The asking task may have timed out; then nobody wants the answer.
+        if let Some(PendingResponse::Frame(sender)) = pending {
+            // The requesting task may have timed out; the response is dropped then.
             let _ = sender.send(frame);
         }
     }
 
-    /// Passes on the parts that are in order. A gap, or a reader that fell too far behind, ends
-    /// the call: its reader sees the channel close without an end, which is never a whole answer.
-    fn deliver_part(&self, id: u64, sequence: u64, part: AnswerPart) {
+    /// Passes on the parts that are in order. If a gap is too large, or the reader fell too far behind, the
+    /// call ends: its reader sees the channel close without an end event, so the response is incomplete.
+    fn deliver_part(&self, id: u64, sequence: u64, part: CallPart) {
         let mut pending = self.pending.lock().unwrap();
-        let Some(Pending::Call { parts, order }) = pending.get_mut(&id) else { return };
-        let Ok(ready) = order.accept(sequence, part) else {
+        let Some(PendingResponse::Call { parts, reassembler }) = pending.get_mut(&id) else { return };
+        let Ok(ready) = reassembler.accept(sequence, part) else {
             pending.remove(&id);
             return;
         };
@@ -134,17 +134,17 @@
     }
 }
 
-/// Sends a frame that needs no answer; a peer that cannot be reached misses it.
-pub async fn post(node: &Arc<Node>, peer: &str, frame: LinkFrame) {
+/// Sends a frame that needs no response. If the peer cannot be reached, the frame is lost.
+pub async fn send(node: &Arc<Node>, peer: &str, frame: LinkFrame) {
     let info = node.membership.lock().unwrap().peer(peer).cloned();
     let Some(info) = info else { return };
-    if let Ok(link) = open(node, &info).await {
-        // A full or closed outbox loses the frame; every post is repeated or backed by a poll.
+    if let Ok(link) = get_or_open(node, &info).await {
+        // A closed outbox loses the frame. Every frame sent this way is repeated later or backed by a poll.
         let _ = link.outbox.send(frame).await;
     }
 }
 
-/// Sends a frame built around a fresh id and waits for its answer.
+/// Sends a frame built with a new id and waits for the response with that id.
 pub async fn request(
     node: &Arc<Node>,
     peer: &PeerInfo,
@@ -152,20 +152,20 @@
     timeout: Duration,
 ) -> Result<LinkFrame, Failure> {
     let exchange = async {
-        let link = open(node, peer).await?;
+        let link = get_or_open(node, peer).await?;
         let id = link.next_id();
-        let (sender, answer) = oneshot::channel();
-        link.pending.lock().unwrap().insert(id, Pending::Frame(sender));
+        let (sender, response) = oneshot::channel();
+        link.pending.lock().unwrap().insert(id, PendingResponse::Frame(sender));
         let _pending = PendingGuard { link: link.clone(), id };
         let sent = link.outbox.send(build(id)).await;
         sent.map_err(|_| link_failure("the link is closed"))?;
-        answer.await.map_err(|_| link_failure("the link broke"))
+        response.await.map_err(|_| link_failure("the link failed"))
     };
     let outcome = clock::timeout(timeout, exchange).await;
-    outcome.unwrap_or_else(|_| Err(link_failure("no answer in time")))
+    outcome.unwrap_or_else(|_| Err(link_failure("no response within the time limit")))
 }
 
-/// Forgets a pending answer when nobody waits for it any more, such as after a timeout.
+/// Removes a pending response when the task no longer waits for it, such as after a timeout.
 struct PendingGuard {
     link: Arc<PeerLink>,
     id: u64,
@@ -177,18 +177,18 @@
     }
 }
 
-/// A call that runs on a peer; dropping it cancels the call there.
+/// A call that runs on a peer. Dropping this value cancels the call on the peer.
 pub struct RemoteCall {
     link: Arc<PeerLink>,
     id: u64,
-    parts: mpsc::Receiver<AnswerPart>,
+    parts: mpsc::Receiver<CallPart>,
     ended: bool,
 }
 
 impl RemoteCall {
-    /// Returns the next part, or `None` if the link broke, or this reader fell too far behind,
-    /// before the explicit end.
-    pub async fn next(&mut self) -> Option<AnswerPart> {
+    /// Returns the next part, or `None` if the link failed or this reader fell too far behind before the
+    /// end event.
+    pub async fn next(&mut self) -> Option<CallPart> {
         let part = self.parts.recv().await;
         self.ended = matches!(&part, Some((CallEvent::Ended(_), _)));
         part
@@ -201,7 +201,7 @@
             return;
         }
         self.link.pending.lock().unwrap().remove(&self.id);
-        // If the outbox is full the peer notices at its own deadline.
+        // If the outbox is full, the call ends at its deadline on the peer.
         let _ = self.link.outbox.try_send(LinkFrame::Cancel { id: self.id });
     }
 }
@@ -212,26 +212,27 @@
     peer: &PeerInfo,
     spec: Box<trestlerack::connection::CallSpec>,
 ) -> Result<RemoteCall, Failure> {
-    let link = open(node, peer).await?;
+    let link = get_or_open(node, peer).await?;
     let id = link.next_id();
-    let (sender, parts) = mpsc::channel(ANSWER_PARTS);
-    let pending = Pending::Call { parts: sender, order: StreamReassembler::new(REORDER_WINDOW) };
+    let (sender, parts) = mpsc::channel(MAX_QUEUED_PARTS);
+    let pending = PendingResponse::Call { parts: sender, reassembler: StreamReassembler::new(REORDER_WINDOW_PARTS) };
     link.pending.lock().unwrap().insert(id, pending);
     let sent = link.outbox.send(LinkFrame::Call { id, spec }).await;
     sent.map_err(|_| link_failure("the link is closed"))?;
     Ok(RemoteCall { link, id, parts, ended: false })
 }
 
-/// Builds the outcome of a call whose link broke: the owner may have sent it to an engine.
-pub fn broken_call() -> CallOutcome {
-    CallOutcome::Failed(Failure::may_have_run(Reason::BackendFailed, "the link to the owner broke"))
+/// Builds the outcome of a call whose link failed. It may have run, since the owner may have sent it to an
+/// engine.
+pub fn link_failure_outcome() -> CallOutcome {
+    CallOutcome::Failed(Failure::may_have_run(Reason::BackendFailed, "the link to the owner failed"))
 }
 
 fn link_failure(detail: &str) -> Failure {
     Failure::not_run(Reason::BackendFailed, detail)
 }
 
-async fn open(node: &Arc<Node>, peer: &PeerInfo) -> Result<Arc<PeerLink>, Failure> {
+async fn get_or_open(node: &Arc<Node>, peer: &PeerInfo) -> Result<Arc<PeerLink>, Failure> {
     if let Some(link) = node.links.open_link(&peer.name) {
         return Ok(link);
     }
@@ -244,21 +245,21 @@
     let (sink, stream) = socket.split();
     let (outbox, inbox) = mpsc::channel(OUTBOX_FRAMES);
     let link = Arc::new(PeerLink { outbox, ids: Mutex::default(), pending: Mutex::default() });
-    let held = {
+    let existing = {
         let mut links = node.links.links.lock().unwrap();
-        let held = links.get(&peer.name).filter(|held| !held.outbox.is_closed()).cloned();
-        if held.is_none() {
+        let existing = links.get(&peer.name).filter(|existing| !existing.outbox.is_closed()).cloned();
+        if existing.is_none() {
             links.insert(peer.name.clone(), link.clone());
         }
-        held
+        existing
     };
-    // Two tasks may open a link at the same time; the first one is kept.
-    if let Some(held) = held {
-        return Ok(held);
+    // Two tasks may open a link at the same time; the first link is kept.
+    if let Some(existing) = existing {
+        return Ok(existing);
     }
     tokio::spawn(write_frames(node.clone(), sink, inbox));
     tokio::spawn(read_frames(node.clone(), peer.clone(), stream, link.clone()));
-    // A link that this node cannot greet on is noticed by its reader.
+    // If this frame cannot be sent, the task that reads the link notices that it is closed.
     let _ = link.outbox.send(LinkFrame::Hello { node: node.name().clone() }).await;
     Ok(link)
 }
@@ -275,7 +276,7 @@
 }
 
 /// Encodes a frame as CBOR.
-pub fn encode(frame: &LinkFrame) -> Option<Bytes> {
+pub fn encode_frame(frame: &LinkFrame) -> Option<Bytes> {
     let mut content = Vec::new();
     ciborium::into_writer(frame, &mut content).ok()?;
     Some(content.into())
@@ -290,13 +291,13 @@
     S: tokio::io::AsyncRead + tokio::io::AsyncWrite + Unpin,
 {
     while let Some(frame) = inbox.recv().await {
-        let Some(content) = encode(&frame) else { continue };
+        let Some(content) = encode_frame(&frame) else { continue };
         node.telemetry.link_bytes.add(content.len() as u64, &[]);
         if sink.send(Message::Binary(content)).await.is_err() {
             return;
         }
     }
-    // The peer sees the connection close either way.
+    // If closing fails, the peer still sees the connection end.
     let _ = sink.close().await;
 }
 
@@ -310,10 +311,10 @@
         let Message::Binary(content) = message else { continue };
         match ciborium::from_reader::<LinkFrame, _>(content.as_ref()) {
             Ok(LinkFrame::ConfigDeltas(deltas)) => {
-                crate::version::config_loop::take_deltas(&node, deltas, Some(&peer));
+                crate::version::config_loop::apply_deltas(&node, deltas, Some(&peer));
             }
             Ok(LinkFrame::ConfigSnapshot(snapshot)) => {
-                crate::version::config_loop::take_snapshot(&node, snapshot);
+                crate::version::config_loop::apply_snapshot(&node, snapshot);
             }
             Ok(frame) => link.deliver(frame),
             Err(_) => break,
@@ -321,7 +322,7 @@
     }
     logs::write(event::LINK_BROKEN, &[("peer", &peer.name)]);
     let mut links = node.links.links.lock().unwrap();
-    if links.get(&peer.name).is_some_and(|held| Arc::ptr_eq(held, &link)) {
+    if links.get(&peer.name).is_some_and(|current| Arc::ptr_eq(current, &link)) {
         links.remove(&peer.name);
     }
     drop(links);
--- a/crates/trestlerackd/src/connection/mod.rs
+++ b/crates/trestlerackd/src/connection/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as a connection: callers, peers and back ends.
+//! Connections of callers, to peers and to backend servers.
 
 pub mod accept;
 pub mod http_client;
--- a/crates/trestlerackd/src/main.rs
+++ b/crates/trestlerackd/src/main.rs
@@ -1,7 +1,7 @@
 //! `trestlerackd`, the daemon of the trestlerack rollout service.
 //!
-//! The decisions are in the `trestlerack` library; this crate carries them out over sockets. It is
-//! laid out by life span, as the library is.
+//! The `trestlerack` library makes the decisions; this crate carries them out over the network. As in the
+//! library, modules are grouped by the lifetime of their state: process, version, connection, request.
 
 mod connection;
 mod entry;
@@ -33,10 +33,10 @@
 Exit codes: 0 stopped as planned, 1 failed, 2 the settings or the command line are wrong.
 ";
 
-/// Exit code for a wrong command line or wrong settings.
+/// Exit code for an invalid command line or invalid settings.
 const EXIT_USAGE: u8 = 2;
 
-/// What the command line asks for.
+/// Action that the command line selects.
 enum Command {
     Print(String),
     Check(Name),
@@ -44,8 +44,8 @@
     ServeEntry(EntrySettings, String),
 }
 
-/// Variable that names the settings file of the entry service.
-const ENTRY_SETTINGS: &str = "TRESTLERACK_CONFIG";
+/// Environment variable that names the settings file of the entry service.
+const ENTRY_SETTINGS_VARIABLE: &str = "TRESTLERACK_CONFIG";
 
 fn main() -> ExitCode {
     let command = match parse_command() {
@@ -91,9 +91,9 @@
     }
     let file: String = arguments.value_from_str("--settings").context("see trestlerackd --help")?;
     let check = arguments.contains("--check");
-    let rest = arguments.finish();
-    if !rest.is_empty() {
-        bail!("unknown arguments {rest:?}; see trestlerackd --help");
+    let unknown_arguments = arguments.finish();
+    if !unknown_arguments.is_empty() {
+        bail!("unknown arguments {unknown_arguments:?}; see trestlerackd --help");
     }
     let text = std::fs::read_to_string(&file).with_context(|| format!("cannot read {file}"))?;
     let settings = parse_settings(&file, &text).map_err(settings_error)?;
@@ -103,12 +103,13 @@
 fn parse_entry_command(mut arguments: pico_args::Arguments) -> anyhow::Result<Command> {
     let file = match arguments.opt_value_from_str("--settings")? {
         Some(file) => file,
-        None => std::env::var(ENTRY_SETTINGS).with_context(|| format!("--settings or {ENTRY_SETTINGS} is needed"))?,
+        None => std::env::var(ENTRY_SETTINGS_VARIABLE)
+            .with_context(|| format!("--settings or {ENTRY_SETTINGS_VARIABLE} is needed"))?,
     };
     let check = arguments.contains("--check");
-    let rest = arguments.finish();
-    if !rest.is_empty() {
-        bail!("unknown arguments {rest:?}; see trestlerackd --help");
+    let unknown_arguments = arguments.finish();
+    if !unknown_arguments.is_empty() {
+        bail!("unknown arguments {unknown_arguments:?}; see trestlerackd --help");
     }
     let settings = read_entry_settings(&file)?;
     Ok(if check { Command::Check(settings.name) } else { Command::ServeEntry(settings, file) })
@@ -120,8 +121,8 @@
     parse_entry_settings(file, &text).map_err(settings_error)
 }
 
-fn settings_error(faults: Vec<DocumentError>) -> anyhow::Error {
-    let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
+fn settings_error(errors: Vec<DocumentError>) -> anyhow::Error {
+    let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
     anyhow::anyhow!("the settings are wrong\n{}", lines.join("\n"))
 }
 
@@ -134,7 +135,7 @@
     })
 }
 
-/// Runs the entry service on one thread: its VMs give it half a core.
+/// Runs the entry service on one thread, since it gets half a core of its VM.
 fn serve_entry(settings: EntrySettings, file: String) -> anyhow::Result<()> {
     process::logs::start_bounded(&settings.log_level)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
--- a/crates/trestlerackd/src/node.rs
+++ b/crates/trestlerackd/src/node.rs
@@ -1,4 +1,4 @@
-//! The state that one daemon shares between its tasks.
+//! The state that the tasks of a daemon share.
 
 use crate::connection::http_client::HttpClient;
 use crate::connection::links::LinkTable;
@@ -7,9 +7,9 @@
 use crate::process::keys::KeyRing;
 use crate::process::platform::{HttpMembershipSource, HttpObjectStore, HttpTableStore};
 use crate::process::recorder::TraceRecorder;
-use crate::process::rollout_loop::HeldLeases;
+use crate::process::rollout_loop::ModelLeases;
 use crate::process::spool::GroupSpool;
-use crate::process::step_loop::StepWatch;
+use crate::process::step_loop::StepWatcher;
 use crate::process::stop::StopState;
 use crate::process::telemetry::Telemetry;
 use crate::request::content_gate::ContentGate;
@@ -33,19 +33,20 @@
 use trestlerack::version::ConfigStore;
 use trestlerack::{Name, Timestamp};
 
-/// Retries and hedges earned per first attempt.
+/// Retries and hedged requests that each first attempt allows.
 const RETRY_RATIO: f64 = 0.2;
 
-/// Retries and hedges that a quiet account may make.
+/// Retries and hedged requests that an account may make without recent first attempts.
 const RETRY_RESERVE: f64 = 20.0;
 
-/// Everything that lives as long as the process.
+/// Shared state that lives as long as the process.
 pub struct Node {
     /// Checked settings.
     pub settings: DaemonSettings,
-    /// Incarnation of this process: wall clock milliseconds at its start, so a restart is newer.
+    /// Incarnation of this process: wall clock time at its start, in milliseconds, so that a restarted
+    /// process has a higher one.
     pub incarnation: u64,
-    /// Clock.
+    /// Clock that includes the time of VM suspensions.
     pub clock: Arc<dyn Clock>,
     /// Keys of callers, operators and peers.
     pub keys: KeyRing,
@@ -53,59 +54,60 @@
     pub table: Arc<dyn TableStore>,
     /// Object store.
     pub objects: Arc<dyn ObjectStore>,
-    /// The platform's list.
-    pub list: Arc<dyn MembershipSource>,
+    /// The platform's membership list.
+    pub member_list: Arc<dyn MembershipSource>,
     /// Model engines.
     pub engines: Arc<dyn EngineClient>,
     /// Scoring services.
     pub scoring: Arc<dyn ScoringClient>,
-    /// HTTP client for everything else.
+    /// HTTP client for all other requests.
     pub http: HttpClient,
-    /// Configuration in force.
+    /// Current configuration.
     pub config: ConfigCell,
-    /// Peers.
+    /// Peers and their liveness.
     pub membership: Mutex<PeerMembership>,
-    /// Nodes that may own something.
+    /// Nodes that may own campaigns, groups, models or engines.
     pub ownership: RwLock<OwnershipView>,
     /// Owners of engines.
-    pub owners: RwLock<EngineOwners>,
+    pub engine_owners: RwLock<EngineOwners>,
     /// Dispatchers of the owned engines, in shards.
     pub desks: DeskTable,
     /// Leases on models.
-    pub leases: HeldLeases,
+    pub leases: ModelLeases,
     /// Open steps of owned campaigns.
-    pub steps: StepWatch,
-    /// Loads of peers.
+    pub steps: StepWatcher,
+    /// Load that peers reported, by model.
     pub loads: LoadTable,
-    /// Lines of samples that wait for an owner with room.
+    /// Queues of samples that wait for an engine owner with free capacity.
     pub turnstiles: Turnstiles,
     /// Links to peers.
     pub links: LinkTable,
-    /// Retry budgets.
-    pub budget: Mutex<RetryBudget>,
-    /// Rate limits, in shards.
-    pub limits: UserLimits,
-    /// Plain services.
+    /// Retry budgets of accounts.
+    pub retry_budget: Mutex<RetryBudget>,
+    /// Rate limits of users, in shards.
+    pub rate_limits: UserLimits,
+    /// Backend servers of plain and scoring services.
     pub plain: PlainPool,
-    /// Contents under which backend servers ended.
+    /// Request contents under which backend servers crashed.
     pub gate: ContentGate,
-    /// Groups that this node is making.
+    /// Groups that this node generates now.
     pub groups_in_progress: GroupsInProgress,
     /// Groups that wait for the store.
     pub spool: GroupSpool,
-    /// Bounds the samples made at once.
+    /// Limits the samples generated at the same time.
     pub sample_slots: Arc<Semaphore>,
-    /// Recorder of decisions.
+    /// Recorder of the events and actions of state machines.
     pub recorder: Arc<TraceRecorder>,
-    /// Metrics and spans.
+    /// Metrics and tracing spans.
     pub telemetry: Telemetry,
-    /// Planned stop.
+    /// Progress of a planned stop.
     pub stop: StopState,
     operations: AtomicU64,
 }
 
 impl Node {
-    /// Opens a node from its settings; nothing is served yet.
+    /// Builds a node from its settings, without serving requests yet. Fails if the key files cannot be read
+    /// or telemetry cannot be started.
     pub fn open(settings: DaemonSettings) -> anyhow::Result<Self> {
         let clock: Arc<dyn Clock> = Arc::new(SystemClock::new());
         let incarnation = SystemClock::unix_millis();
@@ -128,22 +130,22 @@
             incarnation,
             table: Arc::new(HttpTableStore::new(http.clone(), settings.table.clone())),
             objects: Arc::new(HttpObjectStore::new(http.clone(), settings.objects.clone())),
-            list: Arc::new(HttpMembershipSource::new(http.clone(), settings.membership.clone())),
+            member_list: Arc::new(HttpMembershipSource::new(http.clone(), settings.membership.clone())),
             engines: Arc::new(HttpEngineClient::new(http.clone(), order_timeout, settings.policy_staged_swap)),
             scoring: Arc::new(HttpScoringClient::new(http.clone())),
             config: ConfigCell::default(),
             membership: Mutex::new(PeerMembership::new(member_settings, own, incarnation)),
             ownership: RwLock::default(),
-            owners: RwLock::default(),
+            engine_owners: RwLock::default(),
             desks: DeskTable::new(&settings, recorder.clone()),
             recorder,
-            leases: HeldLeases::default(),
-            steps: StepWatch::default(),
+            leases: ModelLeases::default(),
+            steps: StepWatcher::default(),
             loads: LoadTable::default(),
             turnstiles: Turnstiles::default(),
             links: LinkTable::default(),
-            budget: Mutex::new(RetryBudget::new(RETRY_RATIO, RETRY_RESERVE)),
-            limits: UserLimits::default(),
+            retry_budget: Mutex::new(RetryBudget::new(RETRY_RATIO, RETRY_RESERVE)),
+            rate_limits: UserLimits::default(),
             plain: PlainPool::default(),
             gate: ContentGate::default(),
             groups_in_progress: GroupsInProgress::default(),
@@ -159,7 +161,7 @@
         })
     }
 
-    /// Returns the time now.
+    /// Returns the current time.
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
@@ -169,23 +171,23 @@
         &self.settings.name
     }
 
-    /// Returns an id that no other operation of any node has.
+    /// Returns an operation id that is unique among all nodes.
     pub fn operation_id(&self) -> Name {
         let number = self.operations.fetch_add(1, Ordering::Relaxed);
         format!("{}-{}-{number}", self.settings.name, self.incarnation).into()
     }
 
-    /// Returns the steps and groups in the platform's stores.
+    /// Returns access to the steps and groups in the platform's stores.
     pub fn step_store(&self) -> StepStore<'_> {
         StepStore::new(self.table.as_ref(), self.objects.as_ref())
     }
 
-    /// Returns the configuration in the platform's stores.
+    /// Returns access to the configuration in the platform's stores.
     pub fn config_store(&self) -> ConfigStore<'_> {
         ConfigStore::new(self.table.as_ref(), self.objects.as_ref())
     }
 
-    /// Takes over the nodes that may own something, if they have changed.
+    /// Updates the ownership of campaigns, groups, models and engines if the eligible nodes changed.
     pub fn refresh_ownership(&self) {
         let eligible = self.membership.lock().unwrap().eligible(self.now());
         let is_same = self.ownership.read().unwrap().nodes() == eligible.as_slice();
@@ -194,23 +196,23 @@
         }
         let view = OwnershipView::new(eligible);
         *self.ownership.write().unwrap() = view.clone();
-        self.owners.write().unwrap().set_nodes(view);
-        self.refresh_desks();
-        // Groups of a node that went away are asked for again at once.
-        self.steps.nudge();
+        self.engine_owners.write().unwrap().set_nodes(view);
+        self.refresh_dispatchers();
+        // Groups of a node that left are requested again at once.
+        self.steps.wake();
     }
 
-    /// Hands the owned engines to the dispatchers.
-    pub fn refresh_desks(&self) {
+    /// Updates the dispatchers with the engines that this node owns.
+    pub fn refresh_dispatchers(&self) {
         let config = self.config.current();
-        let owners = self.owners.read().unwrap();
+        let owners = self.engine_owners.read().unwrap();
         let owned: Vec<Name> = owners.owned_by(self.name()).cloned().collect();
         drop(owners);
         self.desks.set_owned(self.now(), &config, &owned);
     }
 
     /// Returns the time left until `deadline`, in milliseconds.
-    pub fn left_ms(&self, deadline: Timestamp) -> u64 {
+    pub fn remaining_ms(&self, deadline: Timestamp) -> u64 {
         millis(deadline.since(self.now()))
     }
 }
--- a/crates/trestlerackd/src/process/member_loop.rs
+++ b/crates/trestlerackd/src/process/member_loop.rs
@@ -37,7 +37,7 @@
 /// list.
 pub async fn follow_member_list(node: Arc<Node>) {
     loop {
-        match node.list.list().await {
+        match node.member_list.list().await {
             Ok(list) => {
                 apply_event(&node, MembershipEvent::Listed(list.nodes));
                 node.desks.listed_leaving(node.now(), &list.leaving_backends);
@@ -69,8 +69,8 @@
                 let liveness = update.liveness.as_str();
                 logs::write(event::PEER_CHANGED, &[("peer", &update.peer.name), ("liveness", &liveness)]);
                 if update.liveness == Liveness::Dead {
-                    node.links.drop_link(&update.peer.name);
-                    node.spool.release_copies_of(&update.peer.name);
+                    node.links.close_link(&update.peer.name);
+                    node.spool.adopt_copies_of(&update.peer.name);
                 }
             }
         }
@@ -130,6 +130,6 @@
     }
     let action = node.config.handle(FollowEvent::Announced { generation });
     if let Some(action) = action {
-        crate::version::config_loop::carry_out(node, action, Some(sender));
+        crate::version::config_loop::handle_action(node, action, Some(sender));
     }
 }
--- a/crates/trestlerackd/src/process/platform.rs
+++ b/crates/trestlerackd/src/process/platform.rs
@@ -99,8 +99,8 @@
     }
 }
 
-/// Returns the response if its status is a success. A call that the store rejected as unavailable was
-/// not applied; after any other failure it may have been.
+/// Returns the response if its status is a success. The call was not applied if it was not sent or
+/// the status is 503; after any other failure it may have been.
 fn check_response(response: Result<HttpResponse, Failure>) -> Result<HttpResponse, StoreError> {
     match response {
         Ok(response) if response.status.is_success() => Ok(response),
--- a/crates/trestlerackd/src/process/rollout_loop.rs
+++ b/crates/trestlerackd/src/process/rollout_loop.rs
@@ -1,4 +1,4 @@
-//! Leases on models, weight targets and the orders that carry them out.
+//! Maintains the leases on models, sends weight targets to engine owners and weight orders to engines.
 
 use super::logs;
 use crate::connection::links;
@@ -15,25 +15,25 @@
 use trestlerack::version::{BackendKind, Configuration, EngineOrder, WeightTarget, WeightVersion};
 use trestlerack::{AllowedZones, Name};
 
-/// Leases kept by this node, by model.
+/// Lease keepers of this node, by model.
 #[derive(Default)]
-pub struct HeldLeases {
+pub struct ModelLeases {
     keepers: Mutex<HashMap<Name, LeaseKeeper>>,
-    nudged: Notify,
+    wakeup: Notify,
 }
 
-impl HeldLeases {
-    /// Asks for a look at the published weights now.
-    pub fn nudge(&self) {
-        self.nudged.notify_one();
+impl ModelLeases {
+    /// Makes the lease loop read the published weights now.
+    pub fn wake(&self) {
+        self.wakeup.notify_one();
     }
 }
 
-/// Parts of a lease's life after which it is renewed.
+/// Renewals of a lease within its time to live.
 const RENEWALS_PER_TTL: u64 = 4;
 
-/// Interval at which owned engines are asked for their status and swaps go on.
-const DRIVE_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which owned engines are polled for their status and weight swaps are continued.
+const ENGINE_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Returns the key of a model's lease row.
 fn lease_key(model: &str) -> String {
@@ -45,38 +45,38 @@
     format!("weights/{model}")
 }
 
-/// Takes and renews the leases that this node is a candidate for, and spreads weight targets.
-pub async fn watch_leases(node: Arc<Node>) {
-    let pause = Duration::from_millis(node.settings.lease_ttl_ms / RENEWALS_PER_TTL);
+/// Acquires and renews the leases that this node is a candidate for, and sends weight targets.
+pub async fn maintain_leases(node: Arc<Node>) {
+    let interval = Duration::from_millis(node.settings.lease_ttl_ms / RENEWALS_PER_TTL);
     loop {
         let config = node.config.current();
         for model in models(&config) {
             if is_candidate(&node, &model) {
-                watch_lease(&node, &config, &model).await;
+                maintain_lease(&node, &config, &model).await;
             } else {
-                // A candidate then need not wait for the lease to lapse.
+                // A candidate then need not wait for the lease to expire.
                 release_lease(&node, &model).await;
             }
         }
-        // A nudge ends the pause early; without one the pause is the backstop.
-        let _ = clock::timeout(pause, node.leases.nudged.notified()).await;
+        // A wake-up ends the wait early. If one is lost, the loop goes on after the interval.
+        let _ = clock::timeout(interval, node.leases.wakeup.notified()).await;
     }
 }
 
 /// Tells the candidates for a model's lease that newer weights were published.
-pub async fn nudge_candidates(node: &Arc<Node>, model: &Name) {
+pub async fn notify_candidates(node: &Arc<Node>, model: &Name) {
     let view = node.ownership.read().unwrap().clone();
     for candidate in view.lease_candidates(model) {
         if candidate.name == *node.name() {
-            node.leases.nudge();
+            node.leases.wake();
         } else {
             let frame = LinkFrame::WeightsPublished { model: model.clone() };
-            links::post(node, &candidate.name, frame).await;
+            links::send(node, &candidate.name, frame).await;
         }
     }
 }
 
-/// Gives back every lease, so that the next holder need not wait for it to lapse.
+/// Releases every lease, so that the next holder need not wait for it to expire.
 pub async fn release_leases(node: &Arc<Node>) {
     let models: Vec<Name> = node.leases.keepers.lock().unwrap().keys().cloned().collect();
     for model in models {
@@ -86,12 +86,12 @@
 
 async fn release_lease(node: &Arc<Node>, model: &Name) {
     let key = lease_key(model);
-    let Ok(Some(held)) = node.table.read(&key).await else { return };
-    let row = decode_lease(&held);
+    let Ok(Some(current)) = node.table.read(&key).await else { return };
+    let row = decode_lease(&current);
     let released = node.leases.keepers.lock().unwrap().get_mut(model).and_then(|keeper| keeper.release(row.as_ref()));
     let Some(row) = released else { return };
-    let transaction = lease_write(&key, Some(&held), &row);
-    // If this fails the lease lapses by itself.
+    let transaction = lease_write(&key, Some(&current), &row);
+    // If this fails, the lease expires by itself.
     let _ = node.table.commit(transaction).await;
     logs::write(event::LEASE_LOST, &[("model", model), ("cause", &"released")]);
 }
@@ -106,13 +106,13 @@
     view.lease_candidates(model).iter().any(|candidate| candidate.name == *node.name())
 }
 
-async fn watch_lease(node: &Arc<Node>, config: &Configuration, model: &Name) {
+async fn maintain_lease(node: &Arc<Node>, config: &Configuration, model: &Name) {
     let key = lease_key(model);
     let Ok(row) = node.table.read(&key).await else { return };
     let read_at = node.now();
     let seen = row.as_ref().and_then(|row| Some((row.version, decode_lease(row)?)));
-    let step = with_keeper(node, model, |keeper| keeper.decide(read_at, seen));
-    if let LeaseAction::Write(next) = step {
+    let action = with_keeper(node, model, |keeper| keeper.decide(read_at, seen));
+    if let LeaseAction::Write(next) = action {
         let sent_at = node.now();
         let outcome = node.table.commit(lease_write(&key, row.as_ref(), &next)).await;
         match outcome {
@@ -123,13 +123,13 @@
                 with_keeper(node, model, |keeper| keeper.record_write(sent_at, next));
             }
             Ok(CommitOutcome::Conflict) => {}
-            Err(error) => store_failed(node, "lease", error),
+            Err(error) => record_store_failure(node, "lease", error),
         }
     }
-    spread_target(node, config, model).await;
+    send_target(node, config, model).await;
 }
 
-fn with_keeper<T>(node: &Node, model: &Name, act: impl FnOnce(&mut LeaseKeeper) -> T) -> T {
+fn with_keeper<T>(node: &Node, model: &Name, operation: impl FnOnce(&mut LeaseKeeper) -> T) -> T {
     let mut keepers = node.leases.keepers.lock().unwrap();
     let keeper = keepers.entry(model.clone()).or_insert_with(|| {
         let settings = LeaseSettings {
@@ -139,26 +139,26 @@
         };
         LeaseKeeper::new(settings, node.name().clone(), node.incarnation)
     });
-    act(keeper)
+    operation(keeper)
 }
 
-fn lease_write(key: &str, held: Option<&TableRow>, next: &LeaseRow) -> TableTransaction {
+fn lease_write(key: &str, current: Option<&TableRow>, next: &LeaseRow) -> TableTransaction {
     let value = serde_json::to_value(next).expect("a lease row always encodes");
-    TableTransaction::default().expect(key, TableTransaction::expectation_of(held)).put(key, value)
+    TableTransaction::default().expect(key, TableTransaction::expectation_of(current)).put(key, value)
 }
 
 fn decode_lease(row: &TableRow) -> Option<LeaseRow> {
     serde_json::from_value(row.value.clone()).ok()
 }
 
-/// Logs and counts a failed call of the table service.
-pub fn store_failed(node: &Node, call: &'static str, error: StoreError) {
+/// Logs and counts a failed call to the table service.
+pub fn record_store_failure(node: &Node, call: &'static str, error: StoreError) {
     node.telemetry.store_failures.add(1, &[]);
     logs::write(event::TABLE_FAILED, &[("call", &call), ("error", &error)]);
 }
 
-/// Tells the owners of a model's engines which version to hold, if this node holds the lease.
-async fn spread_target(node: &Arc<Node>, config: &Configuration, model: &Name) {
+/// Tells the owners of a model's engines which version to load, if this node holds the lease.
+async fn send_target(node: &Arc<Node>, config: &Configuration, model: &Name) {
     let Ok(Some(row)) = node.table.read(&weights_key(model)).await else { return };
     let Some(version) = row.value.get("version").and_then(serde_json::Value::as_u64) else { return };
     let now = node.now();
@@ -167,30 +167,32 @@
     let serving_percent = serving_percent(config, model);
     let is_handover_complete = ordering.is_some();
     let target = WeightTarget { model: model.clone(), version, fence, serving_percent, is_handover_complete };
-    let places = AllowedZones::new(config.backends_of(BackendKind::Engine, model).map(|backend| backend.zone.clone()));
-    let owners = node.owners.read().unwrap().model_owners(model, &places);
+    let allowed_zones =
+        AllowedZones::new(config.backends_of(BackendKind::Engine, model).map(|backend| backend.zone.clone()));
+    let owners = node.engine_owners.read().unwrap().model_owners(model, &allowed_zones);
     let nodes: BTreeSet<Name> = owners.into_iter().map(|owner| owner.node).collect();
     for owner in nodes {
         if owner == *node.name() {
-            accept_target(node, target.clone());
+            apply_target(node, target.clone());
         } else {
             let node = node.clone();
             let frame = LinkFrame::Target(target.clone());
-            tokio::spawn(async move { links::post(&node, &owner, frame).await });
+            tokio::spawn(async move { links::send(&node, &owner, frame).await });
         }
     }
 }
 
-/// The strictest campaign decides how many engines of a shared model keep serving.
+/// Returns the percentage of engines that must keep serving: the highest of all campaigns that share
+/// the model.
 fn serving_percent(config: &Configuration, model: &str) -> u32 {
     let sharing = config.campaigns().filter(|campaign| campaign.model.as_ref() == model);
     sharing.map(|campaign| campaign.serving_percent).max().unwrap_or(0)
 }
 
-/// Takes in a weight target and sends the orders that follow from it.
-pub fn accept_target(node: &Arc<Node>, target: WeightTarget) {
-    let known = node.desks.target_version(&target.model);
-    if known != Some(target.version) {
+/// Applies a weight target and sends the resulting orders to engines.
+pub fn apply_target(node: &Arc<Node>, target: WeightTarget) {
+    let current = node.desks.target_version(&target.model);
+    if current != Some(target.version) {
         logs::write(
             event::WEIGHTS_TARGETED,
             &[("model", &target.model), ("version", &target.version), ("fence", &target.fence)],
@@ -200,21 +202,21 @@
     send_orders(node, orders);
 }
 
-/// Asks owned engines for their status and goes on with swaps, for as long as the process lives.
-pub async fn drive_engines(node: Arc<Node>) {
-    let mut ticks = tokio::time::interval(DRIVE_INTERVAL);
+/// Polls owned engines for their status and continues weight swaps until the process ends.
+pub async fn poll_engines(node: Arc<Node>) {
+    let mut ticks = tokio::time::interval(ENGINE_POLL_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    for number in 0.. {
+    for tick in 0.. {
         ticks.tick().await;
         let orders = node.desks.tick(node.now());
         send_orders(&node, orders);
-        for (engine, address) in node.desks.due_for_status(number) {
-            tokio::spawn(ask_status(node.clone(), engine, address));
+        for (engine, address) in node.desks.due_for_status(tick) {
+            tokio::spawn(poll_status(node.clone(), engine, address));
         }
     }
 }
 
-async fn ask_status(node: Arc<Node>, engine: Name, address: Name) {
+async fn poll_status(node: Arc<Node>, engine: Name, address: Name) {
     let Ok(status) = node.engines.status(&address).await else {
         return node.desks.set_reachable(node.now(), &engine, false);
     };
@@ -232,8 +234,8 @@
 }
 
 async fn send_order(node: Arc<Node>, order: EngineOrder, address: Name) {
-    let answer = node.engines.order(&address, &order).await;
-    let orders = match answer {
+    let response = node.engines.order(&address, &order).await;
+    let orders = match response {
         Ok(status) if status.loaded_version == Some(order.version) => {
             logs::write(event::WEIGHTS_HELD, &[("engine", &order.engine), ("version", &order.version)]);
             node.desks.hear_status(node.now(), &order.engine, &status)
@@ -247,7 +249,7 @@
     send_orders(&node, orders);
 }
 
-/// Returns the versions that the engines of each owned model hold, for operators.
-pub fn progress(node: &Node) -> BTreeMap<Name, BTreeMap<Name, Option<WeightVersion>>> {
+/// Returns the weight versions loaded by the engines of each owned model, for operators.
+pub fn loaded_versions(node: &Node) -> BTreeMap<Name, BTreeMap<Name, Option<WeightVersion>>> {
     node.desks.progress()
 }
--- a/crates/trestlerackd/src/process/step_loop.rs
+++ b/crates/trestlerackd/src/process/step_loop.rs
@@ -1,7 +1,8 @@
-//! Watches the open steps of the campaigns that this node owns: asks for groups and seals.
+//! Checks the open steps of the campaigns that this node owns: requests missing groups and seals
+//! complete steps.
 
 use super::logs;
-use super::rollout_loop::store_failed;
+use super::rollout_loop::record_store_failure;
 use crate::connection::links;
 use crate::node::Node;
 use crate::process::clock;
@@ -15,53 +16,53 @@
 use trestlerack::version::Campaign;
 use trestlerack::{Name, Timestamp, event};
 
-/// Shortest time between two looks at the open steps, however often this node is nudged.
-const NUDGE_PAUSE: Duration = Duration::from_millis(100);
+/// Shortest time between two checks of the open steps, however often the loop is woken.
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time after which a missing group is asked for again although its owner has not changed.
-const ASK_AGAIN: Duration = Duration::from_secs(10);
+/// Time after which a missing group is requested again although its owner has not changed.
+const REQUEST_RETRY_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Wakes the watch and remembers who was asked for which group.
+/// Wakes the step loop, and records which node was last asked for which group.
 #[derive(Default)]
-pub struct StepWatch {
-    nudged: Notify,
-    asked: Mutex<HashMap<String, (Name, Timestamp)>>,
+pub struct StepWatcher {
+    wakeup: Notify,
+    requested: Mutex<HashMap<String, (Name, Timestamp)>>,
     manifests: ManifestCache,
 }
 
-impl StepWatch {
-    /// Asks for a look at the open steps soon.
-    pub fn nudge(&self) {
-        self.nudged.notify_one();
+impl StepWatcher {
+    /// Makes the step loop check the open steps soon.
+    pub fn wake(&self) {
+        self.wakeup.notify_one();
     }
 }
 
-/// Nudges the owner of a campaign, wherever it is.
-pub async fn nudge_owner(node: &Arc<Node>, campaign: &Campaign) {
+/// Asks the owner of a campaign, which may be a peer, to check the campaign's open steps.
+pub async fn notify_owner(node: &Arc<Node>, campaign: &Campaign) {
     let view = node.ownership.read().unwrap().clone();
     let Some(owner) = view.campaign_owner(&campaign.name, &campaign.allowed_zones) else { return };
     if owner.name == *node.name() {
-        node.steps.nudge();
+        node.steps.wake();
     } else {
         let frame = LinkFrame::CheckCampaign { campaign: campaign.name.clone() };
-        links::post(node, &owner.name, frame).await;
+        links::send(node, &owner.name, frame).await;
     }
 }
 
-/// Watches open steps for as long as the process lives.
+/// Checks open steps until the process ends.
 pub async fn watch_steps(node: Arc<Node>) {
-    let poll = Duration::from_millis(node.settings.poll_ms);
+    let poll_interval = Duration::from_millis(node.settings.poll_ms);
     loop {
         let config = node.config.current();
         for campaign in config.campaigns() {
             if is_owner(&node, campaign) {
-                look_at_campaign(&node, campaign).await;
+                check_campaign(&node, campaign).await;
             }
         }
-        forget_old_requests(&node);
-        clock::sleep(NUDGE_PAUSE).await;
-        // A nudge ends the wait early; without one the poll is the backstop.
-        let _ = clock::timeout(poll, node.steps.nudged.notified()).await;
+        prune_requests(&node);
+        clock::sleep(MIN_CHECK_INTERVAL).await;
+        // A wake-up ends the wait early. If one is lost, the loop goes on after the poll interval.
+        let _ = clock::timeout(poll_interval, node.steps.wakeup.notified()).await;
     }
 }
 
@@ -71,21 +72,21 @@
     owner.is_some_and(|owner| owner.name == *node.name())
 }
 
-fn forget_old_requests(node: &Node) {
+fn prune_requests(node: &Node) {
     let now = node.now();
-    let mut asked = node.steps.asked.lock().unwrap();
-    asked.retain(|_, (_, at)| now.since(*at) < ASK_AGAIN * 6);
+    let mut requested = node.steps.requested.lock().unwrap();
+    requested.retain(|_, (_, at)| now.since(*at) < REQUEST_RETRY_INTERVAL * 6);
 }
 
-async fn look_at_campaign(node: &Arc<Node>, campaign: &Campaign) {
+async fn check_campaign(node: &Arc<Node>, campaign: &Campaign) {
     let steps = match node.step_store().list_open(&campaign.name).await {
         Ok(steps) => steps,
-        Err(error) => return store_failed(node, "list open steps", error),
+        Err(error) => return record_store_failure(node, "list open steps", error),
     };
     let next = steps.first().copied();
     for step in steps {
         let store = node.step_store();
-        let look = store.try_seal(
+        let sealing = store.try_seal(
             &campaign.name,
             step,
             campaign.staleness_rule(),
@@ -93,15 +94,15 @@
             node.operation_id(),
             &node.steps.manifests,
         );
-        match look.await {
-            Ok(look) => act_on_look(node, campaign, look, next == Some(step)).await,
-            Err(error) => store_failed(node, "look at step", error),
+        match sealing.await {
+            Ok(outcome) => handle_seal_outcome(node, campaign, outcome, next == Some(step)).await,
+            Err(error) => record_store_failure(node, "seal step", error),
         }
     }
 }
 
-async fn act_on_look(node: &Arc<Node>, campaign: &Campaign, look: SealOutcome, is_next: bool) {
-    match look {
+async fn handle_seal_outcome(node: &Arc<Node>, campaign: &Campaign, outcome: SealOutcome, is_next: bool) {
+    match outcome {
         SealOutcome::NotOpen => {}
         SealOutcome::Sealed(row) => logs::write(
             event::STEP_SEALED,
@@ -109,26 +110,26 @@
         ),
         SealOutcome::Missing { row, submission, missing } => {
             let open = OpenStep { row: &row, submission: &submission, is_next };
-            ask_for_groups(node, campaign, open, &missing).await;
+            request_groups(node, campaign, open, &missing).await;
         }
         SealOutcome::Removed { row, removed } => {
             for group in &removed {
-                forget_removed(node, &row, group);
+                forget_request(node, &row, group);
             }
-            node.steps.nudge();
+            node.steps.wake();
         }
     }
 }
 
-/// Lets a group that was too old be asked for again at once.
-fn forget_removed(node: &Node, row: &StepRow, group: &Name) {
+/// Forgets the request for a group whose samples were too old, so that it is requested again at once.
+fn forget_request(node: &Node, row: &StepRow, group: &Name) {
     node.telemetry.regenerated.add(1, &[opentelemetry::KeyValue::new("cause", "too-old")]);
     logs::write(event::SAMPLE_TOO_OLD, &[("campaign", &row.campaign), ("step", &row.step), ("group", group)]);
     let key = group_key(&row.campaign, row.step, group);
-    node.steps.asked.lock().unwrap().remove(&key);
+    node.steps.requested.lock().unwrap().remove(&key);
 }
 
-/// An open step whose groups are asked for.
+/// An open step whose missing groups are requested.
 #[derive(Clone, Copy)]
 struct OpenStep<'a> {
     row: &'a StepRow,
@@ -136,16 +137,16 @@
     is_next: bool,
 }
 
-async fn ask_for_groups(node: &Arc<Node>, campaign: &Campaign, open: OpenStep<'_>, missing: &[Name]) {
+async fn request_groups(node: &Arc<Node>, campaign: &Campaign, open: OpenStep<'_>, missing: &[Name]) {
     let step = open.row;
     let view = node.ownership.read().unwrap().clone();
     for spec in open.submission.groups.iter().filter(|spec| missing.contains(&spec.group)) {
         let owner = view.group_owner(&campaign.name, step.step, &spec.group, &campaign.allowed_zones);
         let Some(owner) = owner.map(|owner| owner.name.clone()) else { continue };
-        if !should_ask(node, &group_key(&campaign.name, step.step, &spec.group), &owner) {
+        if !is_request_due(node, &group_key(&campaign.name, step.step, &spec.group), &owner) {
             continue;
         }
-        let wanted = GroupRequest {
+        let request = GroupRequest {
             campaign: campaign.name.clone(),
             step: step.step,
             consume_version: step.consume_version,
@@ -153,20 +154,23 @@
             spec: spec.clone(),
         };
         if owner == *node.name() {
-            group_runner::begin(node, wanted);
+            group_runner::begin(node, request);
         } else {
-            links::post(node, &owner, LinkFrame::GroupRequest(wanted)).await;
+            links::send(node, &owner, LinkFrame::GroupRequest(request)).await;
         }
     }
 }
 
-/// Returns whether to ask now: for the first time, after a change of owner, or after a while.
-fn should_ask(node: &Node, key: &str, owner: &Name) -> bool {
+/// Returns whether to send a request now: the first one, the first to a new owner, or a repeated one after
+/// [`REQUEST_RETRY_INTERVAL`]. Records the request if so.
+fn is_request_due(node: &Node, key: &str, owner: &Name) -> bool {
     let now = node.now();
-    let mut asked = node.steps.asked.lock().unwrap();
-    let recent = asked.get(key).is_some_and(|(held, at)| held == owner && now.since(*at) < ASK_AGAIN);
+    let mut requested = node.steps.requested.lock().unwrap();
+    let recent = requested
+        .get(key)
+        .is_some_and(|(requested_from, at)| requested_from == owner && now.since(*at) < REQUEST_RETRY_INTERVAL);
     if !recent {
-        asked.insert(key.to_owned(), (owner.clone(), now));
+        requested.insert(key.to_owned(), (owner.clone(), now));
     }
     !recent
 }
--- a/crates/trestlerackd/src/request/answer.rs
+++ b/crates/trestlerackd/src/request/answer.rs
@@ -132,7 +132,7 @@
             return Err(Failure::not_run(Reason::Forbidden, format!("user {user} is not declared")));
         };
         let nodes = self.node.ownership.read().unwrap().nodes().len();
-        let admitted = self.node.limits.admit(self.node.now(), &user, declared.calls_per_second, nodes);
+        let admitted = self.node.rate_limits.admit(self.node.now(), &user, declared.calls_per_second, nodes);
         admitted.map_err(|wait| {
             let failure = Failure::not_run(Reason::RateLimited, "the user's rate limit is used up");
             failure.retry_after(wait)
--- a/crates/trestlerackd/src/request/call_driver.rs
+++ b/crates/trestlerackd/src/request/call_driver.rs
@@ -53,7 +53,7 @@
     policy: ResumePolicy,
     sink: &mut dyn CallSink,
 ) -> Result<u32, Failure> {
-    node.budget.lock().unwrap().earn(&spec.account, &spec.model);
+    node.retry_budget.lock().unwrap().earn(&spec.account, &spec.model);
     let (mut attempts, started) = (0, node.now());
     // A hedge is late already, and an application's call is refused rather than held back.
     let waits_for_room = policy.waits_for_engine && spec.priority < HEDGE_PRIORITY;
@@ -63,7 +63,7 @@
         let Err(failure) = attempt(node, spec, deadline, sink, &mut avoid, waits_for_room).await else {
             return Ok(attempts);
         };
-        let in_budget = || node.budget.lock().unwrap().spend(&spec.account, &spec.model);
+        let in_budget = || node.retry_budget.lock().unwrap().spend(&spec.account, &spec.model);
         let elsewhere = choose_owner(node, spec, &avoid).is_ok();
         // A node that joins or leaves moves engines to other owners; for a moment an owner is asked
         // for an engine that it no longer has, or does not have yet.
@@ -98,7 +98,7 @@
     avoid: &mut Vec<Name>,
     waits_for_room: bool,
 ) -> Result<(), Failure> {
-    let deadline_ms = node.left_ms(deadline);
+    let deadline_ms = node.remaining_ms(deadline);
     if deadline_ms == 0 {
         return Err(Failure::not_run(Reason::DeadlineExceeded, "the deadline passed"));
     }
--- a/crates/trestlerackd/src/request/call_router.rs
+++ b/crates/trestlerackd/src/request/call_router.rs
@@ -45,14 +45,14 @@
     pub async fn next(&mut self) -> CallEvent {
         let (event, load) = match &mut self.source {
             CallSource::Here { parts, .. } => {
-                let event = parts.recv().await.unwrap_or_else(|| CallEvent::Ended(links::broken_call()));
+                let event = parts.recv().await.unwrap_or_else(|| CallEvent::Ended(links::link_failure_outcome()));
                 let is_chunk = matches!(event, CallEvent::Chunk(_));
                 let load = (!is_chunk).then(|| self.node.desks.load(self.node.now(), &self.model));
                 (event, load)
             }
             CallSource::Peer(call) => {
                 let part = call.next().await;
-                part.unwrap_or_else(|| (CallEvent::Ended(links::broken_call()), None))
+                part.unwrap_or_else(|| (CallEvent::Ended(links::link_failure_outcome()), None))
             }
         };
         if let Some(load) = load {
@@ -108,13 +108,13 @@
 /// Returns whether some owner of a model's engines is believed to have a slot to spare, so that a
 /// hedge takes nothing away from a first attempt.
 pub fn has_spare(node: &Node, model: &Name, places: &AllowedZones) -> bool {
-    let owners = node.owners.read().unwrap().model_owners(model, places);
+    let owners = node.engine_owners.read().unwrap().model_owners(model, places);
     owners.iter().any(|owner| node.loads.belief(node.now(), model, &owner.node).0 < owner.slots)
 }
 
 /// Returns the owner that a call's prefix and the owners' load point to, without those to `avoid`.
 pub fn choose_owner(node: &Node, spec: &CallSpec, avoid: &[Name]) -> Result<OwnerChoice, Failure> {
-    let mut owners = node.owners.read().unwrap().model_owners(&spec.model, &spec.allowed_zones);
+    let mut owners = node.engine_owners.read().unwrap().model_owners(&spec.model, &spec.allowed_zones);
     owners.retain(|owner| !avoid.contains(&owner.node));
     let beliefs: Vec<_> = owners.iter().map(|owner| node.loads.belief(node.now(), &spec.model, &owner.node)).collect();
     let views: Vec<EngineCandidate<'_>> = owners
@@ -177,7 +177,7 @@
     let grant = match turn.await {
         Ok(Ok(grant)) => grant,
         Ok(Err(failure)) => return end(&sender, CallOutcome::Failed(failure)).await,
-        Err(_) => return end(&sender, links::broken_call()).await,
+        Err(_) => return end(&sender, links::link_failure_outcome()).await,
     };
     span.set("engine", grant.engine.to_string());
     let started = started_event(&node, &grant, arrived);
--- a/crates/trestlerackd/src/request/engine_client.rs
+++ b/crates/trestlerackd/src/request/engine_client.rs
@@ -1,6 +1,6 @@
 //! Model engines, met by the completions protocol with server-sent events.
 
-use crate::connection::http_client::{HttpClient, HttpResponse, read_whole};
+use crate::connection::http_client::{HttpClient, HttpResponse, read_response};
 use crate::process::clock;
 use async_trait::async_trait;
 use bytes::Bytes;
@@ -105,7 +105,7 @@
     async fn complete(&self, address: &str, call: &CallSpec, sink: &mut dyn ChunkSink) -> Result<(), Failure> {
         let response = self.http.send(completion_request(address, call)?).await?;
         if !response.status().is_success() {
-            return Err(refusal(read_whole(response).await?));
+            return Err(refusal(read_response(response).await?));
         }
         let mut events = response.into_body().into_data_stream().eventsource();
         loop {
--- a/crates/trestlerackd/src/request/group_runner.rs
+++ b/crates/trestlerackd/src/request/group_runner.rs
@@ -42,7 +42,7 @@
 
 /// Begins a group, unless it is in progress here or this node can take on nothing new.
 pub fn begin(node: &Arc<Node>, wanted: GroupRequest) {
-    if node.stop.is_stopping() || !node.spool.has_room() {
+    if node.stop.is_stopping() || !node.spool.has_space() {
         return;
     }
     let Some(key) = node.groups_in_progress.begin(&wanted) else { return };
@@ -62,8 +62,8 @@
     };
     let group = made_group(node, wanted, &samples);
     match record(node, &group).await {
-        Ok(_) => step_loop::nudge_owner(node, &campaign).await,
-        Err(_) => spool::store(node, group).await,
+        Ok(_) => step_loop::notify_owner(node, &campaign).await,
+        Err(_) => spool::spool_group(node, group).await,
     }
 }
 
@@ -159,7 +159,7 @@
 /// A hedge needs a spare slot, and then spends from the retry budget.
 fn may_hedge(node: &Node, campaign: &Campaign) -> bool {
     has_spare(node, &campaign.model, &campaign.allowed_zones)
-        && node.budget.lock().unwrap().spend(&campaign.name, &campaign.model)
+        && node.retry_budget.lock().unwrap().spend(&campaign.name, &campaign.model)
 }
 
 fn group_settings(node: &Node) -> GroupSettings {
@@ -297,7 +297,7 @@
         prefix: hash_parts(&[&wanted.spec.prompt]),
         min_version: campaign.staleness_rule().oldest_acceptable(wanted.consume_version),
         needs_version: true,
-        deadline_ms: node.left_ms(node.now() + SAMPLE_DEADLINE),
+        deadline_ms: node.remaining_ms(node.now() + SAMPLE_DEADLINE),
         traceparent,
         fingerprint: None,
     };
--- a/crates/trestlerackd/src/request/operators.rs
+++ b/crates/trestlerackd/src/request/operators.rs
@@ -1,7 +1,7 @@
 //! Operators' requests: plans, confirmations, views and drains.
 
 use super::answer::{ApiCall, json_response, serve};
-use crate::process::rollout_loop::progress;
+use crate::process::rollout_loop::loaded_versions;
 use crate::version::plans::{self, ConfirmRequest, PlanRequest};
 use gotham::handler::HandlerResult;
 use gotham::helpers::http::Body;
@@ -112,7 +112,7 @@
     let node = &call.node;
     let config = node.config.current();
     let view = node.ownership.read().unwrap().clone();
-    let held = progress(node);
+    let held = loaded_versions(node);
     let report = |backend: &Backend| {
         let owner = view.engine_owner(&backend.name, &backend.zone).map(|owner| owner.name.clone());
         let owner = owner.filter(|_| backend.kind == BackendKind::Engine);
--- a/crates/trestlerackd/src/request/plain.rs
+++ b/crates/trestlerackd/src/request/plain.rs
@@ -2,7 +2,7 @@
 
 use super::answer::{ApiCall, serve};
 use super::content_gate::{self, GuardedSend};
-use crate::connection::http_client::{HttpResponse, read_whole};
+use crate::connection::http_client::{HttpResponse, read_response};
 use crate::node::Node;
 use crate::process::clock;
 use crate::process::logs;
@@ -124,7 +124,7 @@
 /// Sends a call that needs no claim: repeatable, without a key, or with a key that the service
 /// itself honours.
 async fn send(node: &Arc<Node>, call: &PlainCall, backends: &[Backend]) -> Result<HttpResponse, Failure> {
-    node.budget.lock().unwrap().earn(&call.user, &call.service);
+    node.retry_budget.lock().unwrap().earn(&call.user, &call.service);
     let policy = ResumePolicy { repeatable: call.repeatable, waits_for_engine: false };
     let mut tried = Vec::new();
     loop {
@@ -142,7 +142,7 @@
             Err(failure) => failure,
         };
         logs::write(event::PLAIN_BROKEN, &[("backend", &backend.name), ("failure", &failure)]);
-        let in_budget = || node.budget.lock().unwrap().spend(&call.user, &call.service);
+        let in_budget = || node.retry_budget.lock().unwrap().spend(&call.user, &call.service);
         tried.push(backend.name);
         if let ResumeDecision::GiveUp(failure) = decide_resume(&failure, policy, node.now(), call.deadline, in_budget) {
             return Err(failure);
@@ -167,7 +167,7 @@
         };
         let is_leaving = super::engine_client::says_leaving(response.headers());
         node.desks.engine_answered(node.now(), &backend.name, is_leaving);
-        read_whole(response).await
+        read_response(response).await
     };
     let answer = clock::timeout(left, exchange).await;
     answer
--- a/crates/trestlerackd/src/request/steps.rs
+++ b/crates/trestlerackd/src/request/steps.rs
@@ -114,7 +114,7 @@
             return Err(Failure::not_run(Reason::Conflict, detail));
         }
     };
-    step_loop::nudge_owner(&call.node, &campaign).await;
+    step_loop::notify_owner(&call.node, &campaign).await;
     json_response(&Accepted { campaign: campaign.name, step, groups, state })
 }
 
@@ -242,7 +242,7 @@
         {
             return Err(store_down(error));
         }
-        rollout_loop::nudge_candidates(&call.node, &model).await;
+        rollout_loop::notify_candidates(&call.node, &model).await;
     }
     Err(store_down(StoreError::Unknown))
 }
--- a/crates/trestlerackd/src/version/config_cell.rs
+++ b/crates/trestlerackd/src/version/config_cell.rs
@@ -1,9 +1,9 @@
-//! The configuration in force, cheap to read from any task.
+//! The current configuration, which any task can read at low cost.
 
 use std::sync::{Arc, Mutex, RwLock};
 use trestlerack::version::{ConfigDelta, ConfigFollower, Configuration, FollowAction, FollowEvent};
 
-/// The follower and a shared copy of what it holds.
+/// The configuration follower and a shared copy of its current configuration.
 #[derive(Default)]
 pub struct ConfigCell {
     follower: Mutex<ConfigFollower>,
@@ -11,12 +11,12 @@
 }
 
 impl ConfigCell {
-    /// Returns the configuration in force.
+    /// Returns the current configuration.
     pub fn current(&self) -> Arc<Configuration> {
         self.current.read().unwrap().clone()
     }
 
-    /// Feeds an event to the follower; readers see a new generation before this returns.
+    /// Passes an event to the follower. Readers see a new generation before this returns.
     pub fn handle(&self, event: FollowEvent) -> Option<FollowAction> {
         let mut follower = self.follower.lock().unwrap();
         let action = follower.handle(event);
@@ -26,7 +26,7 @@
         action
     }
 
-    /// Returns the deltas after `generation`, where they are still kept.
+    /// Returns the deltas after `generation`, or `None` if they are no longer kept.
     pub fn deltas_after(&self, generation: u64) -> Option<Vec<ConfigDelta>> {
         self.follower.lock().unwrap().deltas_after(generation)
     }
--- a/crates/trestlerackd/src/version/mod.rs
+++ b/crates/trestlerackd/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as a version: the configuration in force and the plans that change it.
+//! The current configuration and the change plans that replace it.
 
 pub mod config_cell;
 pub mod config_loop;
