--- a/crates/trestlerackd/src/connection/links.rs
+++ b/crates/trestlerackd/src/connection/links.rs
@@ -268,7 +268,7 @@
     let stream = TcpStream::connect(peer.link.as_ref()).await?;
     stream.set_nodelay(true)?;
     let mut request = format!("ws://{}/link", peer.link).into_client_request()?;
-    let key = format!("Bearer {}", node.keys.link_key()).parse()?;
+    let key = format!("Bearer {}", node.keys.peer_key()).parse()?;
     request.headers_mut().insert("authorization", key);
     let config = Some(socket_config());
     let (socket, _) = tokio_tungstenite::client_async_with_config(request, stream, config).await?;
--- a/crates/trestlerackd/src/process/keys.rs
+++ b/crates/trestlerackd/src/process/keys.rs
@@ -9,9 +9,9 @@
 
 /// The keys that this node accepts.
 pub struct KeyRing {
-    callers: CustomerDirectory,
-    operator: String,
-    link: String,
+    users: CustomerDirectory,
+    operator_key: String,
+    peer_key: String,
 }
 
 impl KeyRing {
@@ -21,36 +21,36 @@
         let text = read_key_file(&settings.caller_keys_file)?;
         let users_by_key: BTreeMap<String, Name> = serde_json::from_str(&text)
             .with_context(|| format!("{}: expected an object from key to user", settings.caller_keys_file))?;
-        let mut callers = CustomerDirectory::default();
+        let mut users = CustomerDirectory::default();
         for (key, name) in users_by_key {
-            callers.add(Customer { name, ..Customer::default() }, &[CustomerKey::new(&key)]);
+            users.add(Customer { name, ..Customer::default() }, &[CustomerKey::new(&key)]);
         }
-        let operator = read_key_file(&settings.operator_key_file)?.trim().to_owned();
-        let link = read_key_file(&settings.link_key_file)?.trim().to_owned();
-        anyhow::ensure!(!operator.is_empty(), "{}: the key is empty", settings.operator_key_file);
-        anyhow::ensure!(!link.is_empty(), "{}: the key is empty", settings.link_key_file);
-        Ok(Self { callers, operator, link })
+        let operator_key = read_key_file(&settings.operator_key_file)?.trim().to_owned();
+        let peer_key = read_key_file(&settings.link_key_file)?.trim().to_owned();
+        anyhow::ensure!(!operator_key.is_empty(), "{}: the key is empty", settings.operator_key_file);
+        anyhow::ensure!(!peer_key.is_empty(), "{}: the key is empty", settings.link_key_file);
+        Ok(Self { users, operator_key, peer_key })
     }
 
     /// Returns the user to whom the presented key belongs.
     pub fn find_user(&self, presented: &str) -> Option<Name> {
         let credential = CallerCredential::Key(CustomerKey::new(presented));
-        self.callers.find(&credential).map(|user| user.name.clone())
+        self.users.find(&credential).map(|user| user.name.clone())
     }
 
     /// Returns whether the presented key is that of the operators.
     pub fn is_operator(&self, presented: &str) -> bool {
-        keys_match(&self.operator, presented)
+        keys_match(&self.operator_key, presented)
     }
 
     /// Returns whether the presented key is that of the peers.
     pub fn is_peer(&self, presented: &str) -> bool {
-        keys_match(&self.link, presented)
+        keys_match(&self.peer_key, presented)
     }
 
     /// Returns the key that this node presents to its peers.
-    pub fn link_key(&self) -> &str {
-        &self.link
+    pub fn peer_key(&self) -> &str {
+        &self.peer_key
     }
 }
 
