--- a/crates/trestlerackd/src/connection/link_server.rs
+++ b/crates/trestlerackd/src/connection/link_server.rs
@@ -4,7 +4,7 @@
 use crate::node::Node;
 use crate::process::clock;
 use crate::process::{logs, member_loop, rollout_loop};
-use crate::request::{call_router, content_gate, group_runner};
+use crate::request::{call_router, content_blocking, group_runner};
 use crate::version::config_loop;
 use futures_util::StreamExt;
 use std::collections::HashMap;
@@ -95,7 +95,7 @@
         match frame {
             LinkFrame::Hello { node: peer } => *self.peer.lock().unwrap() = peer,
             LinkFrame::Probe { id, heartbeat, generation, drain_updates, crash_reports } => {
-                content_gate::hear_strikes(node, &crash_reports);
+                content_blocking::merge_crash_reports(node, &crash_reports);
                 member_loop::merge_probe(node, heartbeat, generation, drain_updates);
                 self.respond_to_probe(node, id).await;
             }
@@ -119,8 +119,8 @@
     async fn respond_to_probe(&self, node: &Arc<Node>, id: u64) {
         let heartbeat = node.membership.lock().unwrap().heartbeat();
         let generation = node.config.current().generation;
-        let drain_updates = node.desks.take_news();
-        let crash_reports = content_gate::probe_strikes(node);
+        let drain_updates = node.dispatchers.take_drain_updates();
+        let crash_reports = content_blocking::recent_crash_reports(node);
         let response = LinkFrame::ProbeAnswer { id, heartbeat, generation, drain_updates, crash_reports };
         // Sending fails only if the link is closed, and that ends the session.
         let _ = self.outbox.send(response).await;
@@ -138,7 +138,7 @@
     fn start_call(self: Arc<Self>, node: &Arc<Node>, id: u64, spec: CallSpec) {
         let (sender, mut events) = mpsc::channel(1);
         let model = spec.model.clone();
-        let run = call_router::run_here(node.clone(), spec, sender);
+        let run = call_router::run_locally(node.clone(), spec, sender);
         let session = self.clone();
         let node = node.clone();
         // The lock is held until the task is in the map, so that the task cannot remove itself before.
@@ -148,7 +148,7 @@
                 let mut sequence = 0;
                 while let Some(event) = events.recv().await {
                     let is_chunk = matches!(event, CallEvent::Chunk(_));
-                    let load = (!is_chunk).then(|| node.desks.load(node.now(), &model));
+                    let load = (!is_chunk).then(|| node.dispatchers.load(node.now(), &model));
                     session.send_part(id, sequence, event, load).await;
                     sequence += 1;
                 }
--- a/crates/trestlerackd/src/entry/client_links.rs
+++ b/crates/trestlerackd/src/entry/client_connections.rs
@@ -1,8 +1,8 @@
 //! Accepts the connections of clients and serves each until it ends.
 
 use super::front;
-use super::held::{Admission, ClientLink, LinkSeat, LinkedBody, WatchedStream};
 use super::node::EntryNode;
+use super::resource_limits::{Admission, ClientLink, LinkSeat, LinkedBody, WatchedStream};
 use crate::process::clock;
 use http::{HeaderValue, Response, header};
 use hyper::Request;
@@ -60,7 +60,7 @@
 }
 
 async fn serve_client(node: Arc<EntryNode>, seat: LinkSeat, stream: TcpStream, service: LinkService) {
-    super::pool::prepare(&stream);
+    super::pool::set_socket_options(&stream);
     node.client_connections.fetch_add(1, Ordering::Relaxed);
     let idle = match service {
         LinkService::Serve => {
--- a/crates/trestlerackd/src/entry/feed_relay.rs
+++ b/crates/trestlerackd/src/entry/feed_relay.rs
@@ -279,7 +279,7 @@
         }
         None => table_watch::apply_rows(node, platform::SERVER_TABLE, servers),
     }
-    node.suspects.set_cut_off(is_store_down);
+    node.suspects.set_watch_down(is_store_down);
     let mut end_news = node.end_news.lock().unwrap();
     if is_store_down {
         end_news.record_failure();
--- /dev/null
+++ b/crates/trestlerackd/src/entry/in_flight.rs
@@ -0,0 +1,98 @@
+//! Counts the requests of this node that are in flight at backend servers.
+
+use super::admission;
+use super::node::EntryNode;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use trestlerack::process::{ServerEntry, SuspectRun, TokenNeed};
+use trestlerack::request::RequestFingerprint;
+
+/// Counts a request as in flight at a backend server until the guard is dropped.
+pub struct InFlightGuard {
+    node: Arc<EntryNode>,
+    /// Server that the request is in flight at.
+    pub server: ServerEntry,
+    /// Fingerprint of the content of the request.
+    pub fingerprint: RequestFingerprint,
+    /// Run of the content, if it is suspected of crashing servers.
+    suspect_run: Option<SuspectRun>,
+    /// Tokens that the request occupies in the server's memory.
+    tokens: Option<TokenNeed>,
+    /// Whether the request was sent and its outcome is not known yet.
+    is_outcome_pending: AtomicBool,
+    /// Whether the server may also run a suspect content of another node.
+    may_share_server: AtomicBool,
+}
+
+impl InFlightGuard {
+    /// Counts a request as in flight at a server.
+    pub fn new(node: &Arc<EntryNode>, server: ServerEntry, fingerprint: RequestFingerprint) -> Self {
+        node.balancer.lock().unwrap().started(&server.instance);
+        let suspect_run = node.suspects.tracker().begin_run(node.now(), &server.instance, fingerprint);
+        let (is_outcome_pending, may_share_server) = (AtomicBool::new(false), AtomicBool::new(false));
+        Self {
+            node: node.clone(),
+            server,
+            fingerprint,
+            suspect_run,
+            tokens: None,
+            is_outcome_pending,
+            may_share_server,
+        }
+    }
+
+    /// Also counts the tokens that the request occupies in the server's memory.
+    pub fn with_tokens(mut self, tokens: Option<TokenNeed>) -> Self {
+        if let Some(tokens) = &tokens {
+            self.node.balancer.lock().unwrap().memory.add_run(&self.server.instance, tokens);
+        }
+        self.tokens = tokens;
+        self
+    }
+
+    /// Records that the request is sent to the server.
+    pub fn record_sent(&self) {
+        self.is_outcome_pending.store(true, Ordering::Relaxed);
+        admission::note_attempt(&self.node, &self.server.service);
+    }
+
+    /// Records that the outcome is known: a response, a refusal or a broken connection.
+    pub fn record_outcome(&self) {
+        self.is_outcome_pending.store(false, Ordering::Relaxed);
+    }
+
+    /// Records that the server may also run a suspect content of another node.
+    pub fn mark_shared(&self) {
+        self.may_share_server.store(true, Ordering::Relaxed);
+    }
+
+    /// Returns whether the request is the trial of a suspect content, with no other suspect at the server.
+    pub fn is_trial(&self) -> bool {
+        !self.may_share_server.load(Ordering::Relaxed)
+            && self
+                .suspect_run
+                .is_some_and(|suspect_run| self.node.suspects.tracker().is_trial(&self.server.instance, suspect_run))
+    }
+}
+
+impl Drop for InFlightGuard {
+    fn drop(&mut self) {
+        {
+            let mut balancer = self.node.balancer.lock().unwrap();
+            balancer.ended(&self.server.instance);
+            if let Some(tokens) = &self.tokens {
+                balancer.memory.remove_run(&self.server.instance, tokens);
+            }
+        }
+        if self.is_outcome_pending.load(Ordering::Relaxed) {
+            // The client disconnected or the request timed out. If the server crashes now, only service
+            // discovery reports it.
+            let (now, is_trial) = (self.node.now(), self.is_trial());
+            self.node.suspects.tracker().record_unresolved(now, self.fingerprint, &self.server, is_trial);
+        }
+        if let Some(suspect_run) = self.suspect_run {
+            self.node.suspects.tracker().end_run(&self.server.instance, suspect_run);
+        }
+        admission::place_freed(&self.node, &self.server.service);
+    }
+}
--- a/crates/trestlerackd/src/entry/mod.rs
+++ b/crates/trestlerackd/src/entry/mod.rs
@@ -4,19 +4,23 @@
 //! relays store calls for peers, and may hold the lease on weight orders. What has to last is in
 //! the platform's store; see [docs/PLATFORM.md](../../../../docs/PLATFORM.md).
 
+mod admission;
 mod attempt;
 mod attempts;
 mod callers;
 mod choice_log;
-mod client_links;
+mod client_connections;
+mod crash_detection;
 mod drive_mode;
 mod duties;
 mod engine_calls;
 mod engine_memory;
+mod engine_priority;
 mod feed_relay;
 mod follower_state;
 mod front;
-mod held;
+mod hedging;
+mod in_flight;
 mod item_run;
 mod job_accept;
 mod job_calls;
@@ -27,23 +31,21 @@
 mod job_takeover;
 mod job_texts;
 mod lease_book;
+mod load_gossip;
 mod metrics;
-mod news;
 mod node;
 mod order_lease;
 mod peers;
 mod plain;
 mod pool;
 mod readiness;
+mod request_history;
+mod resource_limits;
 mod retention;
-mod room;
 mod run_moves;
 mod score_calls;
-mod second_attempts;
-mod server_answers;
 mod server_discovery;
-mod server_end;
-mod server_ticket;
+mod server_responses;
 mod shares;
 mod status;
 mod stop;
@@ -52,8 +54,7 @@
 mod suspects;
 mod table_watch;
 mod tables;
-mod trail;
-mod urgency;
+
 mod weight_book;
 mod weights;
 
@@ -86,7 +87,7 @@
     let hangup = signal(SignalKind::hangup())?;
     let node = Arc::new(EntryNode::open(settings)?);
     logs::write(event::NODE_STARTED, &[("node", &node.settings.name), ("zone", &node.settings.zone)]);
-    tokio::spawn(client_links::serve(node.clone(), clients));
+    tokio::spawn(client_connections::serve(node.clone(), clients));
     tokio::spawn(readiness::serve(node.clone(), readiness));
     tokio::spawn(peers::serve(node.clone(), peer_calls));
     if let Some(listener) = metrics_calls {
@@ -105,11 +106,11 @@
     tokio::spawn(expire_connections(node.clone()));
     tokio::spawn(retention::sweep(node.clone()));
     tokio::spawn(suspects::read_at_start(node.clone()));
-    tokio::spawn(suspects::store_strikes(node.clone()));
-    tokio::spawn(suspects::tell_peers(node.clone()));
-    tokio::spawn(suspects::ask_peers(node.clone()));
-    tokio::spawn(news::server_news::tell_peers(node.clone()));
-    tokio::spawn(news::tell_adders(node.clone()));
+    tokio::spawn(suspects::store_reports(node.clone()));
+    tokio::spawn(suspects::send_to_peers(node.clone()));
+    tokio::spawn(suspects::pull_from_peers(node.clone()));
+    tokio::spawn(load_gossip::observations::send_to_peers(node.clone()));
+    tokio::spawn(load_gossip::report_usage(node.clone()));
     tokio::spawn(reload(node.clone(), hangup, settings_file));
     tokio::select! {
         _ = terminate.recv() => {}
@@ -126,7 +127,7 @@
 async fn note_suspensions(node: Arc<EntryNode>) {
     let resumed = |suspended: Duration| {
         logs::log_suspension(suspended);
-        node.suspects.set_cut_off(true);
+        node.suspects.set_watch_down(true);
     };
     clock::watch_suspensions(resumed).await;
 }
--- a/crates/trestlerackd/src/entry/peers.rs
+++ b/crates/trestlerackd/src/entry/peers.rs
@@ -1,12 +1,12 @@
 //! What nodes ask each other: to relay a store call, and whether a job is driven.
 
 use super::feed_relay::{self, FeedCall, FeedReply};
-use super::held::HeldDecision;
-use super::job_takeover;
-use super::news;
+
 use super::node::EntryNode;
 use super::pool::ConnectionPool;
+use super::resource_limits::HeldDecision;
 use super::suspects;
+use super::{job_takeover, load_gossip};
 use crate::process::clock::{self, SystemClock};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -313,7 +313,7 @@
 }
 
 async fn serve_peer(node: Arc<EntryNode>, _seat: ConnectionPermit, stream: TcpStream) {
-    super::pool::prepare(&stream);
+    super::pool::set_socket_options(&stream);
     let service = hyper::service::service_fn(move |request: Request<Incoming>| {
         let node = node.clone();
         async move {
@@ -356,10 +356,10 @@
             node.usage.merge(&sender, notes);
             PeerReply::Noted
         }
-        PeerCall::Strikes { notes } => PeerReply::Strikes(suspects::answer_peer(node, &notes)),
+        PeerCall::Strikes { notes } => PeerReply::Strikes(suspects::respond_to_peer(node, &notes)),
         PeerCall::Feed(call) => PeerReply::Feed(feed_relay::handle_call(node, call).await),
         PeerCall::Trial { server, fingerprint } => PeerReply::Trial(suspects::grant_trial(node, &server, fingerprint)),
-        PeerCall::News(told) => PeerReply::News(news::answer_peer(node, told)),
+        PeerCall::News(told) => PeerReply::News(load_gossip::respond_to_peer(node, told)),
         PeerCall::Drive { job } => PeerReply::Drives(job_takeover::drive_assigned(node, &job).await),
         PeerCall::End { job } => {
             let is_driven = node.drivers.lock().unwrap().contains_key(&job);
--- a/crates/trestlerackd/src/node.rs
+++ b/crates/trestlerackd/src/node.rs
@@ -12,14 +12,14 @@
 use crate::process::step_loop::StepWatcher;
 use crate::process::stop::StopState;
 use crate::process::telemetry::Telemetry;
-use crate::request::content_gate::ContentGate;
-use crate::request::desks::DeskTable;
+use crate::request::capacity_queue::CapacityQueues;
+use crate::request::content_blocking::ContentBlocker;
+use crate::request::dispatchers::DispatcherTable;
 use crate::request::engine_client::HttpEngineClient;
 use crate::request::loads::LoadTable;
 use crate::request::plain_pool::PlainPool;
 use crate::request::scoring_client::HttpScoringClient;
 use crate::request::shards::UserLimits;
-use crate::request::turnstile::Turnstiles;
 use crate::version::config_cell::ConfigCell;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, RwLock};
@@ -71,7 +71,7 @@
     /// Owners of engines.
     pub engine_owners: RwLock<EngineOwners>,
     /// Dispatchers of the owned engines, in shards.
-    pub desks: DeskTable,
+    pub dispatchers: DispatcherTable,
     /// Leases on models.
     pub leases: ModelLeases,
     /// Open steps of owned campaigns.
@@ -79,7 +79,7 @@
     /// Load that peers reported, by model.
     pub loads: LoadTable,
     /// Queues of samples that wait for an engine owner with free capacity.
-    pub turnstiles: Turnstiles,
+    pub capacity_queues: CapacityQueues,
     /// Links to peers.
     pub links: LinkTable,
     /// Retry budgets of accounts.
@@ -89,7 +89,7 @@
     /// Backend servers of plain and scoring services.
     pub plain: PlainPool,
     /// Request contents under which backend servers crashed.
-    pub gate: ContentGate,
+    pub content_blocker: ContentBlocker,
     /// Groups that this node generates now.
     pub groups_in_progress: GroupsInProgress,
     /// Groups that wait for the store.
@@ -137,17 +137,17 @@
             membership: Mutex::new(PeerMembership::new(member_settings, own, incarnation)),
             ownership: RwLock::default(),
             engine_owners: RwLock::default(),
-            desks: DeskTable::new(&settings, recorder.clone()),
+            dispatchers: DispatcherTable::new(&settings, recorder.clone()),
             recorder,
             leases: ModelLeases::default(),
             steps: StepWatcher::default(),
             loads: LoadTable::default(),
-            turnstiles: Turnstiles::default(),
+            capacity_queues: CapacityQueues::default(),
             links: LinkTable::default(),
             retry_budget: Mutex::new(RetryBudget::new(RETRY_RATIO, RETRY_RESERVE)),
             rate_limits: UserLimits::default(),
             plain: PlainPool::default(),
-            gate: ContentGate::default(),
+            content_blocker: ContentBlocker::default(),
             groups_in_progress: GroupsInProgress::default(),
             spool: GroupSpool::new(settings.spool_bytes),
             sample_slots: Arc::new(Semaphore::new(settings.max_samples)),
@@ -208,7 +208,7 @@
         let owners = self.engine_owners.read().unwrap();
         let owned: Vec<Name> = owners.owned_by(self.name()).cloned().collect();
         drop(owners);
-        self.desks.set_owned(self.now(), &config, &owned);
+        self.dispatchers.set_owned(self.now(), &config, &owned);
     }
 
     /// Returns the time left until `deadline`, in milliseconds.
--- a/crates/trestlerackd/src/process/member_loop.rs
+++ b/crates/trestlerackd/src/process/member_loop.rs
@@ -4,7 +4,7 @@
 use crate::connection::links;
 use crate::node::Node;
 use crate::process::clock;
-use crate::request::content_gate;
+use crate::request::content_blocking;
 use std::sync::Arc;
 use std::time::Duration;
 use trestlerack::connection::LinkFrame;
@@ -40,7 +40,7 @@
         match node.member_list.list().await {
             Ok(list) => {
                 apply_event(&node, MembershipEvent::Listed(list.nodes));
-                node.desks.listed_leaving(node.now(), &list.leaving_backends);
+                node.dispatchers.merge_drain_list(node.now(), &list.leaving_backends);
                 node.refresh_ownership();
             }
             Err(error) => logs::write(event::LIST_UNAVAILABLE, &[("error", &error)]),
@@ -90,12 +90,12 @@
     let timeout = Duration::from_millis(node.settings.heartbeat_ms) * PROBE_TIMEOUT_INTERVALS;
     let heartbeat = node.membership.lock().unwrap().heartbeat();
     let generation = node.config.current().generation;
-    let drain_updates = node.desks.take_news();
-    let crash_reports = content_gate::probe_strikes(&node);
+    let drain_updates = node.dispatchers.take_drain_updates();
+    let crash_reports = content_blocking::recent_crash_reports(&node);
     let build = |id| LinkFrame::Probe { id, heartbeat, generation, drain_updates, crash_reports };
     match links::request(&node, &peer, build, timeout).await {
         Ok(LinkFrame::ProbeAnswer { heartbeat, generation, drain_updates, crash_reports, .. }) => {
-            content_gate::hear_strikes(&node, &crash_reports);
+            content_blocking::merge_crash_reports(&node, &crash_reports);
             merge_probe(&node, heartbeat, generation, drain_updates);
         }
         Ok(_) | Err(_) => apply_event(&node, MembershipEvent::Unanswered(peer.name)),
@@ -126,7 +126,7 @@
     let sender = heartbeat.sender.peer.clone();
     apply_event(node, MembershipEvent::Received(heartbeat));
     for update in drain_updates {
-        node.desks.hear_news(node.now(), update);
+        node.dispatchers.merge_drain_update(node.now(), update);
     }
     let action = node.config.handle(FollowEvent::Announced { generation });
     if let Some(action) = action {
--- a/crates/trestlerackd/src/process/rollout_loop.rs
+++ b/crates/trestlerackd/src/process/rollout_loop.rs
@@ -191,14 +191,14 @@
 
 /// Applies a weight target and sends the resulting orders to engines.
 pub fn apply_target(node: &Arc<Node>, target: WeightTarget) {
-    let current = node.desks.target_version(&target.model);
+    let current = node.dispatchers.target_version(&target.model);
     if current != Some(target.version) {
         logs::write(
             event::WEIGHTS_TARGETED,
             &[("model", &target.model), ("version", &target.version), ("fence", &target.fence)],
         );
     }
-    let orders = node.desks.set_target(node.now(), target);
+    let orders = node.dispatchers.set_target(node.now(), target);
     send_orders(node, orders);
 }
 
@@ -208,9 +208,9 @@
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     for tick in 0.. {
         ticks.tick().await;
-        let orders = node.desks.tick(node.now());
+        let orders = node.dispatchers.tick(node.now());
         send_orders(&node, orders);
-        for (engine, address) in node.desks.due_for_status(tick) {
+        for (engine, address) in node.dispatchers.engines_to_poll(tick) {
             tokio::spawn(poll_status(node.clone(), engine, address));
         }
     }
@@ -218,15 +218,15 @@
 
 async fn poll_status(node: Arc<Node>, engine: Name, address: Name) {
     let Ok(status) = node.engines.status(&address).await else {
-        return node.desks.set_reachable(node.now(), &engine, false);
+        return node.dispatchers.set_reachable(node.now(), &engine, false);
     };
-    let orders = node.desks.hear_status(node.now(), &engine, &status);
+    let orders = node.dispatchers.record_status(node.now(), &engine, &status);
     send_orders(&node, orders);
 }
 
 fn send_orders(node: &Arc<Node>, orders: Vec<EngineOrder>) {
     for order in orders {
-        let address = node.desks.address(&order.engine);
+        let address = node.dispatchers.address(&order.engine);
         if let Some(address) = address {
             tokio::spawn(send_order(node.clone(), order, address));
         }
@@ -238,12 +238,12 @@
     let orders = match response {
         Ok(status) if status.loaded_version == Some(order.version) => {
             logs::write(event::WEIGHTS_HELD, &[("engine", &order.engine), ("version", &order.version)]);
-            node.desks.hear_status(node.now(), &order.engine, &status)
+            node.dispatchers.record_status(node.now(), &order.engine, &status)
         }
-        Ok(_) => node.desks.order_failed(node.now(), &order.engine),
+        Ok(_) => node.dispatchers.record_order_failure(node.now(), &order.engine),
         Err(failure) => {
             logs::write(event::ORDER_FAILED, &[("engine", &order.engine), ("error", &failure)]);
-            node.desks.order_failed(node.now(), &order.engine)
+            node.dispatchers.record_order_failure(node.now(), &order.engine)
         }
     };
     send_orders(&node, orders);
@@ -251,5 +251,5 @@
 
 /// Returns the weight versions loaded by the engines of each owned model, for operators.
 pub fn loaded_versions(node: &Node) -> BTreeMap<Name, BTreeMap<Name, Option<WeightVersion>>> {
-    node.desks.progress()
+    node.dispatchers.progress()
 }
