--- a/crates/trestlerackd/src/entry/mod.rs
+++ b/crates/trestlerackd/src/entry/mod.rs
@@ -131,7 +131,7 @@
 /// because messages of peers and the store were missed meanwhile.
 async fn log_suspensions(node: Arc<EntryNode>) {
     let resumed = |suspended: Duration| {
-        logs::write_suspension(suspended);
+        logs::log_suspension(suspended);
         node.suspects.set_watch_down(true);
     };
     clock::watch_suspensions(resumed).await;
--- a/crates/trestlerackd/src/entry/server_responses.rs
+++ b/crates/trestlerackd/src/entry/server_responses.rs
@@ -30,14 +30,14 @@
     /// Starts the timer now.
     pub fn start(node: &EntryNode) -> Self {
         let mut suspension = SuspensionDetector::default();
-        let (since_boot, monotonic) = clock::both_clocks();
+        let (since_boot, monotonic) = clock::boot_and_monotonic_time();
         suspension.update(since_boot, monotonic);
         Self { started: node.now(), suspension }
     }
 
     /// Returns the time since the start, or `None` if the VM was suspended since.
     fn elapsed(mut self, node: &EntryNode) -> Option<Duration> {
-        let (since_boot, monotonic) = clock::both_clocks();
+        let (since_boot, monotonic) = clock::boot_and_monotonic_time();
         let suspended = self.suspension.update(since_boot, monotonic);
         suspended.is_none().then(|| node.now().since(self.started))
     }
--- a/crates/trestlerackd/src/request/api_call.rs
+++ b/crates/trestlerackd/src/request/api_call.rs
@@ -110,7 +110,7 @@
         if self.node.keys.is_operator(key) {
             return Ok(Principal::Operator);
         }
-        let user = self.node.keys.caller(key).map(Principal::User);
+        let user = self.node.keys.find_user(key).map(Principal::User);
         user.ok_or_else(|| Failure::not_run(Reason::Unauthorized, "unknown key"))
     }
 
@@ -132,7 +132,7 @@
             return Err(Failure::not_run(Reason::Forbidden, format!("user {user} is not declared")));
         };
         let nodes = self.node.ownership.read().unwrap().nodes().len();
-        let admitted = self.node.limits.admit(self.node.now(), &user, declared.calls_per_second, nodes);
+        let admitted = self.node.rate_limits.admit(self.node.now(), &user, declared.calls_per_second, nodes);
         admitted.map_err(|wait| {
             let failure = Failure::not_run(Reason::RateLimited, "the user's rate limit is used up");
             failure.retry_after(wait)
@@ -169,7 +169,7 @@
     let headers = HeaderMap::take_from(state);
     let body = read_body(node, state, &headers).await?;
     let parent = headers.get("traceparent").and_then(|value| value.to_str().ok());
-    let span = node.telemetry.hop(route, SpanKind::Server, parent);
+    let span = node.telemetry.start_span(route, SpanKind::Server, parent);
     Ok(ApiCall { node: node.clone(), method, uri, headers, body, span, work })
 }
 
--- a/crates/trestlerackd/src/request/call_driver.rs
+++ b/crates/trestlerackd/src/request/call_driver.rs
@@ -53,7 +53,7 @@
     policy: ResumePolicy,
     sink: &mut dyn CallSink,
 ) -> Result<u32, Failure> {
-    node.budget.lock().unwrap().earn(&spec.account, &spec.model);
+    node.retry_budget.lock().unwrap().earn(&spec.account, &spec.model);
     let (mut attempts, started) = (0, node.now());
     // A hedged attempt is late already, and an application's call is rejected rather than queued.
     let waits_for_capacity = policy.waits_for_engine && spec.priority < HEDGE_PRIORITY;
@@ -63,7 +63,7 @@
         let Err(failure) = attempt(node, spec, deadline, sink, &mut avoided, waits_for_capacity).await else {
             return Ok(attempts);
         };
-        let in_budget = || node.budget.lock().unwrap().spend(&spec.account, &spec.model);
+        let in_budget = || node.retry_budget.lock().unwrap().spend(&spec.account, &spec.model);
         let has_other_owner = choose_owner(node, spec, &avoided).is_ok();
         // Engines change owners when a node joins or leaves. Until the change has spread, calls reach
         // owners that no longer have the engine or do not have it yet.
@@ -103,7 +103,7 @@
     avoided: &mut Vec<Name>,
     waits_for_capacity: bool,
 ) -> Result<(), Failure> {
-    let deadline_ms = node.left_ms(deadline);
+    let deadline_ms = node.remaining_ms(deadline);
     if deadline_ms == 0 {
         return Err(Failure::not_run(Reason::DeadlineExceeded, "the deadline passed"));
     }
--- a/crates/trestlerackd/src/request/call_router.rs
+++ b/crates/trestlerackd/src/request/call_router.rs
@@ -45,14 +45,14 @@
     pub async fn next(&mut self) -> CallEvent {
         let (event, load) = match &mut self.source {
             CallSource::Local { events, .. } => {
-                let event = events.recv().await.unwrap_or_else(|| CallEvent::Ended(links::broken_call()));
+                let event = events.recv().await.unwrap_or_else(|| CallEvent::Ended(links::link_failure_outcome()));
                 let is_chunk = matches!(event, CallEvent::Chunk(_));
                 let load = (!is_chunk).then(|| self.node.dispatchers.load(self.node.now(), &self.model));
                 (event, load)
             }
             CallSource::Remote(call) => {
                 let event = call.next().await;
-                event.unwrap_or_else(|| (CallEvent::Ended(links::broken_call()), None))
+                event.unwrap_or_else(|| (CallEvent::Ended(links::link_failure_outcome()), None))
             }
         };
         if let Some(load) = load {
@@ -108,13 +108,13 @@
 /// Returns whether some owner of a model's engines has a free slot by its estimated load, so that a
 /// hedged attempt does not delay a first attempt.
 pub fn has_free_slot(node: &Node, model: &Name, allowed_zones: &AllowedZones) -> bool {
-    let owners = node.owners.read().unwrap().model_owners(model, allowed_zones);
+    let owners = node.engine_owners.read().unwrap().model_owners(model, allowed_zones);
     owners.iter().any(|owner| node.loads.estimate(node.now(), model, &owner.node).0 < owner.slots)
 }
 
 /// Chooses an owner by the prefix of the call and the load of the owners, except those in `avoided`.
 pub fn choose_owner(node: &Node, spec: &CallSpec, avoided: &[Name]) -> Result<OwnerChoice, Failure> {
-    let mut owners = node.owners.read().unwrap().model_owners(&spec.model, &spec.allowed_zones);
+    let mut owners = node.engine_owners.read().unwrap().model_owners(&spec.model, &spec.allowed_zones);
     owners.retain(|owner| !avoided.contains(&owner.node));
     let loads: Vec<_> = owners.iter().map(|owner| node.loads.estimate(node.now(), &spec.model, &owner.node)).collect();
     let candidates: Vec<EngineCandidate<'_>> = owners
@@ -168,7 +168,7 @@
 /// Runs a call on an engine that this node owns and sends its events.
 pub async fn run_locally(node: Arc<Node>, spec: CallSpec, sender: mpsc::Sender<CallEvent>) {
     let _work = WorkGuard::new(&node);
-    let span = node.telemetry.hop("owner", SpanKind::Server, spec.traceparent.as_deref());
+    let span = node.telemetry.start_span("owner", SpanKind::Server, spec.traceparent.as_deref());
     let arrived = node.now();
     let deadline = arrived + Duration::from_millis(spec.deadline_ms);
     let id = node.dispatchers.next_id();
@@ -177,7 +177,7 @@
     let grant = match receiver.await {
         Ok(Ok(grant)) => grant,
         Ok(Err(failure)) => return send_end(&sender, CallOutcome::Failed(failure)).await,
-        Err(_) => return send_end(&sender, links::broken_call()).await,
+        Err(_) => return send_end(&sender, links::link_failure_outcome()).await,
     };
     span.set("engine", grant.engine.to_string());
     let started = started_event(&node, &grant, arrived);
--- a/crates/trestlerackd/src/request/content_blocking.rs
+++ b/crates/trestlerackd/src/request/content_blocking.rs
@@ -115,7 +115,7 @@
         .record_crash_by_start(node.now(), request.fingerprint, crash_id, is_trial)
         .is_some();
     if is_new {
-        member_loop::probe_some(node, &GossipSettings::default());
+        member_loop::probe_gossip_peers(node, &GossipSettings::default());
     }
     let crashes = node.content_blocker.tracker().crash_count(request.fingerprint);
     let fields: [(&str, &dyn std::fmt::Display); 5] = [
@@ -158,6 +158,6 @@
     let new_reports = reports.iter().filter(|report| tracker.merge(now, report)).count();
     drop(tracker);
     if new_reports > 0 {
-        member_loop::probe_some(node, &GossipSettings::default());
+        member_loop::probe_gossip_peers(node, &GossipSettings::default());
     }
 }
--- a/crates/trestlerackd/src/request/engine_client.rs
+++ b/crates/trestlerackd/src/request/engine_client.rs
@@ -1,6 +1,6 @@
 //! Client of model engines: completions as server-sent events, status and orders.
 
-use crate::connection::http_client::{HttpAnswer, HttpClient, read_whole};
+use crate::connection::http_client::{HttpClient, HttpResponse, read_response};
 use crate::process::clock;
 use async_trait::async_trait;
 use bytes::Bytes;
@@ -106,7 +106,7 @@
     async fn complete(&self, address: &str, call: &CallSpec, sink: &mut dyn ChunkSink) -> Result<(), Failure> {
         let response = self.http.send(completion_request(address, call)?).await?;
         if !response.status().is_success() {
-            return Err(rejection(read_whole(response).await?));
+            return Err(rejection(read_response(response).await?));
         }
         let mut events = response.into_body().into_data_stream().eventsource();
         loop {
@@ -164,7 +164,7 @@
 }
 
 /// Converts an error status of an engine. An engine that rejects with a status did not run the call.
-fn rejection(response: HttpAnswer) -> Failure {
+fn rejection(response: HttpResponse) -> Failure {
     let detail = String::from_utf8_lossy(&response.body).into_owned();
     Failure::not_run(
         Reason::BackendFailed,
@@ -172,7 +172,7 @@
     )
 }
 
-fn decode_status(response: HttpAnswer) -> Result<EngineStatus, Failure> {
+fn decode_status(response: HttpResponse) -> Result<EngineStatus, Failure> {
     if !response.status.is_success() {
         return Err(rejection(response));
     }
--- a/crates/trestlerackd/src/request/group_runner.rs
+++ b/crates/trestlerackd/src/request/group_runner.rs
@@ -43,15 +43,15 @@
 
 /// Starts to generate a group, unless it is in progress, this node is stopping or its spool is full.
 pub fn begin(node: &Arc<Node>, request: GroupRequest) {
-    if node.stop.is_stopping() || !node.spool.has_room() {
+    if node.stop.is_stopping() || !node.spool.has_space() {
         return;
     }
-    let Some(key) = node.wanted.begin(&request) else { return };
+    let Some(key) = node.groups_in_progress.begin(&request) else { return };
     let node = node.clone();
     tokio::spawn(async move {
         let _work = WorkGuard::new(&node);
         run_group(&node, &request).await;
-        node.wanted.end(&key);
+        node.groups_in_progress.end(&key);
     });
 }
 
@@ -63,8 +63,8 @@
     };
     let group = build_group(node, request, &samples);
     match record(node, &group).await {
-        Ok(_) => step_loop::nudge_owner(node, &campaign).await,
-        Err(_) => spool::store(node, group).await,
+        Ok(_) => step_loop::notify_owner(node, &campaign).await,
+        Err(_) => spool::spool_group(node, group).await,
     }
 }
 
@@ -160,7 +160,7 @@
 /// Returns whether an attempt may be hedged. That takes a free slot, and spends from the retry budget.
 fn may_hedge(node: &Node, campaign: &Campaign) -> bool {
     has_free_slot(node, &campaign.model, &campaign.allowed_zones)
-        && node.budget.lock().unwrap().spend(&campaign.name, &campaign.model)
+        && node.retry_budget.lock().unwrap().spend(&campaign.name, &campaign.model)
 }
 
 fn group_settings(node: &Node) -> GroupSettings {
@@ -203,7 +203,7 @@
             GroupEvent::Finished { index, attempt }
         }
         Err(failure) => {
-            node.telemetry.remade.add(1, &[opentelemetry::KeyValue::new("cause", failure.reason.as_str())]);
+            node.telemetry.regenerated.add(1, &[opentelemetry::KeyValue::new("cause", failure.reason.as_str())]);
             logs::write(event::CALL_BROKEN, &[("sample", &index), ("attempt", &attempt), ("cause", &failure)]);
             GroupEvent::Failed { index, attempt }
         }
@@ -243,7 +243,7 @@
     request: &GroupRequest,
     attempt: &SampleAttempt,
 ) -> Result<Sample, Failure> {
-    let span = node.telemetry.hop("sample", SpanKind::Internal, None);
+    let span = node.telemetry.start_span("sample", SpanKind::Internal, None);
     let id = sample_id(request, attempt.index);
     span.set("sample", id.to_string());
     let first_unix = node.clock.unix_seconds();
@@ -298,7 +298,7 @@
         prefix: hash_parts(&[&request.spec.prompt]),
         min_version: campaign.staleness_rule().oldest_acceptable(request.consume_version),
         needs_version: true,
-        deadline_ms: node.left_ms(node.now() + SAMPLE_TIMEOUT),
+        deadline_ms: node.remaining_ms(node.now() + SAMPLE_TIMEOUT),
         traceparent,
         fingerprint: None,
     };
--- a/crates/trestlerackd/src/request/operators.rs
+++ b/crates/trestlerackd/src/request/operators.rs
@@ -1,7 +1,7 @@
 //! Handlers of the operators' API: plans, status reports and drains.
 
 use super::api_call::{ApiCall, json_response, serve};
-use crate::process::rollout_loop::progress;
+use crate::process::rollout_loop::loaded_versions;
 use crate::version::plans::{self, ConfirmRequest, PlanRequest};
 use gotham::handler::HandlerResult;
 use gotham::helpers::http::Body;
@@ -69,7 +69,7 @@
         generation: Some(node.config.current().generation),
         // The request for this report is in progress too and is not counted.
         in_progress: Some(node.stop.in_progress().saturating_sub(1)),
-        groups: Some(node.wanted.len()),
+        groups: Some(node.groups_in_progress.len()),
         spooled: Some(node.spool.len()),
         links: Some(node.links.len()),
     };
@@ -113,7 +113,7 @@
     let node = &call.node;
     let config = node.config.current();
     let ownership = node.ownership.read().unwrap().clone();
-    let loaded_versions = progress(node);
+    let loaded_versions = loaded_versions(node);
     let report = |backend: &Backend| {
         let owner = ownership.engine_owner(&backend.name, &backend.zone).map(|owner| owner.name.clone());
         let owner = owner.filter(|_| backend.kind == BackendKind::Engine);
--- a/crates/trestlerackd/src/request/plain.rs
+++ b/crates/trestlerackd/src/request/plain.rs
@@ -2,7 +2,7 @@
 
 use super::api_call::{ApiCall, serve};
 use super::content_blocking::{self, BackendRequest};
-use crate::connection::http_client::{HttpAnswer, read_whole};
+use crate::connection::http_client::{HttpResponse, read_response};
 use crate::node::Node;
 use crate::process::clock;
 use crate::process::logs;
@@ -83,7 +83,7 @@
 
 /// Sends a call that must not be repeated in a separate task, which continues when the caller
 /// disconnects. A retry of the caller then finds the recorded response and not an unfinished record.
-async fn send_detached(call: &ApiCall, plain: PlainCall, backends: Vec<Backend>) -> Result<HttpAnswer, Failure> {
+async fn send_detached(call: &ApiCall, plain: PlainCall, backends: Vec<Backend>) -> Result<HttpResponse, Failure> {
     let node = call.node.clone();
     let work = WorkGuard::new(&node);
     let needs_record = plain.key.is_some() && !backends[0].honours_keys;
@@ -127,8 +127,8 @@
 
 /// Sends a call without an idempotency record. The call is repeatable, has no key, or has a key that
 /// the service itself honours.
-async fn send(node: &Arc<Node>, call: &PlainCall, backends: &[Backend]) -> Result<HttpAnswer, Failure> {
-    node.budget.lock().unwrap().earn(&call.user, &call.service);
+async fn send(node: &Arc<Node>, call: &PlainCall, backends: &[Backend]) -> Result<HttpResponse, Failure> {
+    node.retry_budget.lock().unwrap().earn(&call.user, &call.service);
     let policy = ResumePolicy { repeatable: call.repeatable, waits_for_engine: false };
     let mut tried = Vec::new();
     loop {
@@ -147,7 +147,7 @@
             Err(failure) => failure,
         };
         logs::write(event::PLAIN_BROKEN, &[("backend", &backend.name), ("failure", &failure)]);
-        let in_budget = || node.budget.lock().unwrap().spend(&call.user, &call.service);
+        let in_budget = || node.retry_budget.lock().unwrap().spend(&call.user, &call.service);
         tried.push(backend.name);
         if let ResumeDecision::GiveUp(failure) = decide_resume(&failure, policy, node.now(), call.deadline, in_budget) {
             return Err(failure);
@@ -158,7 +158,7 @@
     }
 }
 
-async fn send_attempt(node: &Arc<Node>, call: &PlainCall, backend: &Backend) -> Result<HttpAnswer, Failure> {
+async fn send_attempt(node: &Arc<Node>, call: &PlainCall, backend: &Backend) -> Result<HttpResponse, Failure> {
     let request = build_request(call, backend)?;
     let remaining = call.deadline.since(node.now());
     if remaining.is_zero() {
@@ -172,7 +172,7 @@
         };
         let is_draining = super::engine_client::reports_draining(response.headers());
         node.dispatchers.record_draining(node.now(), &backend.name, is_draining);
-        read_whole(response).await
+        read_response(response).await
     };
     let response = clock::timeout(remaining, exchange).await;
     response
@@ -198,7 +198,7 @@
 
 /// Writes an idempotency record to the table before the call is sent, so that a retry through another
 /// node finds it.
-async fn send_idempotent(node: &Arc<Node>, call: &PlainCall, backends: &[Backend]) -> Result<HttpAnswer, Failure> {
+async fn send_idempotent(node: &Arc<Node>, call: &PlainCall, backends: &[Backend]) -> Result<HttpResponse, Failure> {
     let key = idempotency_row_key(&call.user, &call.service, call.key.as_deref().unwrap_or(""));
     let digest: Name =
         digest_hex(&[call.method.as_str().as_bytes(), b" ", call.target.as_bytes(), b"\n", &call.body].concat()).into();
@@ -213,9 +213,9 @@
     result
 }
 
-fn response_without_sending(decision: IdempotencyDecision) -> Result<HttpAnswer, Failure> {
+fn response_without_sending(decision: IdempotencyDecision) -> Result<HttpResponse, Failure> {
     match decision {
-        IdempotencyDecision::Replay { status, content_type, body } => Ok(HttpAnswer {
+        IdempotencyDecision::Replay { status, content_type, body } => Ok(HttpResponse {
             status: StatusCode::from_u16(status).unwrap_or(StatusCode::OK),
             content_type,
             body: Bytes::from(body),
@@ -228,7 +228,7 @@
     }
 }
 
-fn final_state(result: &Result<HttpAnswer, Failure>) -> IdempotencyState {
+fn final_state(result: &Result<HttpResponse, Failure>) -> IdempotencyState {
     match result {
         Ok(response) if response.body.len() <= MAX_RECORDED_BYTES => IdempotencyState::Answered {
             status: response.status.as_u16(),
@@ -240,7 +240,7 @@
     }
 }
 
-fn plain_response(backend_response: HttpAnswer) -> Response<Body> {
+fn plain_response(backend_response: HttpResponse) -> Response<Body> {
     let body = Full::new(backend_response.body).map_err(|never| match never {}).boxed_unsync();
     let mut response = Response::new(body);
     *response.status_mut() = backend_response.status;
